--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -52,7 +52,7 @@
         sum.record_bytes = std::max(sum.record_bytes, static_cast<double>(w.Done().size()));
       };
       write(&all[i]);
-      for (const limits::CellNote& note : all[i].Notes()) {
+      for (const limits::CellMessage& note : all[i].Notes()) {
         ++sum.notes;
         sum.note_bytes += static_cast<double>(peer::Encode(note).size());
         const auto to = static_cast<size_t>(std::stoi(note.to.substr(5)));
--- a/src/adapters/cloud_client.h
+++ b/src/adapters/cloud_client.h
@@ -10,7 +10,7 @@
 class CloudClient {
  public:
   CloudClient(io::Loop* loop, const PlatformSettings& settings);
-  io::Task<CloudReply> Run(CloudOp op);
+  io::Task<CloudResponse> Run(CloudRequest op);
 
  private:
   io::Loop* loop_;
--- a/src/adapters/node.cpp
+++ b/src/adapters/node.cpp
@@ -24,11 +24,11 @@
       cloud_(loop, settings),
       link_(
           loop, settings,
-          [this](const PeerNote& note) {
+          [this](const PeerStatus& note) {
             core_.OnPeer(io::Loop::Now(), note);
             Flush();
           },
-          [this](const limits::CellNote& note) {
+          [this](const limits::CellMessage& note) {
             core_.OnCell(io::Loop::Now(), note);
             Flush();
           },
@@ -100,37 +100,37 @@
           break;
       }
     }
-    for (CheckinAnswer& a : out.checkins) {
+    for (HeartbeatResponse& a : out.heartbeat_responses) {
       any = true;
-      auto it = checkins_.find(a.token);
+      auto it = checkins_.find(a.request_id);
       if (it != checkins_.end()) it->second->Set(std::move(a));
     }
-    for (UserAnswer& a : out.answers) {
+    for (ApiResponse& a : out.api_responses) {
       any = true;
-      auto it = users_.find(a.token);
+      auto it = users_.find(a.request_id);
       if (it != users_.end()) it->second->Set(std::move(a));
     }
-    for (PeerNote& n : out.notes) {
+    for (PeerStatus& n : out.peer_statuses) {
       any = true;
       link_.Send(n);
     }
-    for (const membership::Message& m : out.members) {
+    for (const membership::Message& m : out.membership_messages) {
       any = true;
       link_.Send(m);
     }
-    for (CellSend& s : out.cells) {
+    for (CellDelivery& s : out.cell_deliveries) {
       any = true;
       link_.Send(s);
     }
-    for (StateOp& op : out.state) {
+    for (StateRequest& op : out.state_requests) {
       any = true;
-      io::Spawn(RunState(std::move(op)));
+      io::Spawn(TaskPhase(std::move(op)));
     }
-    for (CloudOp& op : out.cloud) {
+    for (CloudRequest& op : out.cloud_requests) {
       any = true;
       io::Spawn(RunCloud(std::move(op)));
     }
-    for (DirectOp& op : out.direct) {
+    for (CommandRequest& op : out.command_requests) {
       any = true;
       io::Spawn(RunDirect(std::move(op)));
     }
@@ -139,31 +139,31 @@
   flushing_ = false;
 }
 
-io::Task<void> Node::RunState(StateOp op) {
+io::Task<void> Node::TaskPhase(StateRequest op) {
   const RequestId id = op.id;
-  StateReply reply = co_await state_.Run(std::move(op));
+  StateResponse reply = co_await state_.Run(std::move(op));
   core_.OnState(io::Loop::Now(), id, std::move(reply));
   Flush();
 }
 
-io::Task<void> Node::RunCloud(CloudOp op) {
+io::Task<void> Node::RunCloud(CloudRequest op) {
   ++metrics_.cloud_calls;
   const RequestId id = op.id;
-  CloudReply reply = co_await cloud_.Run(std::move(op));
+  CloudResponse reply = co_await cloud_.Run(std::move(op));
   core_.OnCloud(io::Loop::Now(), id, std::move(reply));
   Flush();
 }
 
-io::Task<void> Node::RunDirect(DirectOp op) {
+io::Task<void> Node::RunDirect(CommandRequest op) {
   ++metrics_.direct_calls;
   const RequestId id = op.id;
   http::Client client(loop_, op.endpoint, 0, http::Limits{8192, 16384, 1024 * 1024});
   std::string body = wire::FormatDirect(op);
   http::ClientAnswer answer = co_await client.Request("POST", "/do", std::move(body), Seconds(3));
-  DirectReply reply;
+  CommandResponse reply;
   if (answer.answered()) {
     reply.status = answer.status;
-    reply.report = wire::ParseReport(answer.body);
+    reply.heartbeat = wire::ParseReport(answer.body);
   }
   core_.OnDirect(io::Loop::Now(), id, std::move(reply));
   Flush();
@@ -193,7 +193,7 @@
 
 io::Task<http::ServerAnswer> Node::HandleWork(http::Message request, std::string path) {
   const RequestId token = ++next_token_;
-  io::Slot<UserAnswer> slot(loop_);
+  io::Slot<ApiResponse> slot(loop_);
   static const std::string kWithdraw = "/withdraw";
   std::string id = path.size() > 6 ? path.substr(6) : std::string();
   const bool withdraw = id.size() > kWithdraw.size() &&
@@ -215,7 +215,7 @@
     core_.OnQuery(now, token, id);
   }
   Flush();
-  std::optional<UserAnswer> answer = co_await slot.Wait(now + Seconds(4));
+  std::optional<ApiResponse> answer = co_await slot.Wait(now + Seconds(4));
   users_.erase(token);
   metrics_.user_waits.Add((io::Loop::Now() - now).ToSeconds());
   ++metrics_.user_requests;
@@ -224,20 +224,20 @@
 }
 
 io::Task<http::ServerAnswer> Node::HandleCheckin(http::Message request) {
-  const std::optional<Report> report = wire::ParseReport(request.body);
+  const std::optional<Heartbeat> report = wire::ParseReport(request.body);
   if (!report) co_return Plain(400, "malformed report");
   ++metrics_.reports;
   metrics_.report_bytes += request.body.size();
   const RequestId token = ++next_token_;
-  io::Slot<CheckinAnswer> slot(loop_);
+  io::Slot<HeartbeatResponse> slot(loop_);
   checkins_[token] = &slot;
   const Micros now = io::Loop::Now();
   core_.OnCheckin(now, token, *report);
   Flush();
-  std::optional<CheckinAnswer> answer = co_await slot.Wait(now + Seconds(3));
+  std::optional<HeartbeatResponse> answer = co_await slot.Wait(now + Seconds(3));
   checkins_.erase(token);
   if (!answer) co_return Plain(503, "no answer in time");
-  if (io::Loop::Now() >= answer->good_until) co_return Plain(503, "the lease has ended");
+  if (io::Loop::Now() >= answer->valid_until) co_return Plain(503, "the lease has ended");
   std::string body = wire::FormatCheckinAnswer(*answer);
   metrics_.report_answer_bytes += body.size();
   co_return http::ServerAnswer{answer->status, std::move(body), 0};
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -28,9 +28,9 @@
   io::Task<http::ServerAnswer> HandleWork(http::Message request, std::string path);
   io::Task<http::ServerAnswer> HandleCheckin(http::Message request);
   io::Task<void> Ticks();
-  io::Task<void> RunState(StateOp op);
-  io::Task<void> RunCloud(CloudOp op);
-  io::Task<void> RunDirect(DirectOp op);
+  io::Task<void> TaskPhase(StateRequest op);
+  io::Task<void> RunCloud(CloudRequest op);
+  io::Task<void> RunDirect(CommandRequest op);
   // Carries out what the core has asked for since the last time.
   void Flush();
 
@@ -47,8 +47,8 @@
 
   bool flushing_ = false;
   RequestId next_token_ = 0;
-  std::unordered_map<RequestId, io::Slot<UserAnswer>*> users_;
-  std::unordered_map<RequestId, io::Slot<CheckinAnswer>*> checkins_;
+  std::unordered_map<RequestId, io::Slot<ApiResponse>*> users_;
+  std::unordered_map<RequestId, io::Slot<HeartbeatResponse>*> checkins_;
 };
 
 }  // namespace badgershore::adapters
--- a/src/adapters/state_client.cpp
+++ b/src/adapters/state_client.cpp
@@ -6,14 +6,14 @@
 namespace badgershore::adapters {
 namespace {
 
-using Kind = StateOp::Kind;
-using Outcome = StateReply::Outcome;
+using Kind = StateRequest::Kind;
+using Outcome = StateResponse::Outcome;
 
 // A list or watch answer may be large, but a controller's memory is not.
 constexpr http::Limits kLimits{8 * 1024, 16 * 1024, 4 * 1024 * 1024};
 
-StateReply Refused() {
-  StateReply r;
+StateResponse Refused() {
+  StateResponse r;
   r.outcome = Outcome::kRefused;
   return r;
 }
@@ -59,9 +59,9 @@
   co_return granted;
 }
 
-io::Task<StateReply> StateClient::Run(StateOp op) {
+io::Task<StateResponse> StateClient::Run(StateRequest op) {
   const bool lease =
-      op.kind == Kind::kTouch || op.kind == Kind::kGrant || op.kind == Kind::kRelease;
+      op.kind == Kind::kRenewLease || op.kind == Kind::kGrantLease || op.kind == Kind::kRevokeLease;
   const bool watch = op.kind == Kind::kWatch;
   if (!lease && !watch) {
     const bool granted = co_await Pace();
@@ -77,7 +77,7 @@
   http::ClientAnswer answer = co_await client.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
   if (!watch) --trying_;
-  StateReply reply;
+  StateResponse reply;
   if (!answer.answered()) {
     if (!watch) ++unanswered_;
     reply.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kRefused
--- a/src/adapters/state_client.h
+++ b/src/adapters/state_client.h
@@ -12,7 +12,7 @@
 class StateClient {
  public:
   StateClient(io::Loop* loop, const PlatformSettings& settings);
-  io::Task<StateReply> Run(StateOp op);
+  io::Task<StateResponse> Run(StateRequest op);
   http::Traffic traffic() const;  // requests and watches
 
  private:
--- a/src/agent/core/agent.cpp
+++ b/src/agent/core/agent.cpp
@@ -22,60 +22,61 @@
 Resources Agent::Used() const {
   Resources used;
   for (const auto& [key, held] : tasks_) {
-    if (held.state != RunState::kExited && held.spec) used = used + held.spec->need;
+    if (held.state != TaskPhase::kExited && held.spec) used = used + held.spec->need;
   }
   return used;
 }
 
 bool Agent::ImageWanted(const std::string& image) const {
   return std::any_of(tasks_.begin(), tasks_.end(), [&](const auto& t) {
-    return t.second.state == RunState::kFetching && t.second.spec && t.second.spec->image == image;
+    return t.second.state == TaskPhase::kFetchingImage && t.second.spec &&
+           t.second.spec->image == image;
   });
 }
 
-void Agent::Exit(const TaskKey& key, Held* held, ExitCause cause, bool saved) {
-  const bool fetched = held->state == RunState::kFetching && held->spec;
-  held->state = RunState::kExited;
+void Agent::Exit(const TaskKey& key, Held* held, ExitReason cause, bool saved) {
+  const bool fetched = held->state == TaskPhase::kFetchingImage && held->spec;
+  held->state = TaskPhase::kExited;
   held->cause = cause;
   held->saved = saved;
   held->waits_until = kNever;
-  if (std::exchange(held->launched, false)) Say(Command::Kind::kKill).task = key;
+  if (std::exchange(held->launched, false)) Say(Action::Kind::kKill).task = key;
   if (fetched) {
     auto image = images_.find(held->spec->image);
     if (image != images_.end() && !image->second && !ImageWanted(image->first)) {
-      Say(Command::Kind::kGiveUp).text = image->first;
+      Say(Action::Kind::kGiveUp).text = image->first;
       images_.erase(image);
     }
   }
   Changed();
 }
 
-void Agent::Start(Micros, const Order& order) {
+void Agent::Start(Micros, const Command& order) {
   const TaskKey key{order.ref, order.attempt};
   if (tasks_.contains(key)) return;  // in any state, refused and exited included
   Held& held = tasks_[key];
   Changed();
   for (auto it = tasks_.lower_bound({order.ref, 0});
        it != tasks_.end() && it->first.ref == order.ref; ++it) {
-    if (it->first == key || it->second.state == RunState::kExited) continue;
-    return Exit(key, &held, ExitCause::kBusy, false);
+    if (it->first == key || it->second.state == TaskPhase::kExited) continue;
+    return Exit(key, &held, ExitReason::kDuplicateTask, false);
   }
-  Say(Command::Kind::kDescribe).text = order.ref.job;
+  Say(Action::Kind::kDescribe).text = order.ref.job;
 }
 
 void Agent::OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec) {
   for (auto& [key, held] : tasks_) {
-    if (key.ref.job != job || held.spec || held.state != RunState::kFetching) continue;
+    if (key.ref.job != job || held.spec || held.state != TaskPhase::kFetchingImage) continue;
     if (!spec || key.ref.task >= spec->tasks) {
-      Exit(key, &held, ExitCause::kUnknown, false);
+      Exit(key, &held, ExitReason::kUnknownTask, false);
       continue;
     }
     const Resources room = settings_.size - Used();
     held.spec = spec;
     if (!spec->need.Fits(room)) {
       // What is refused holds nothing; exiting by the ordinary way would give up a fetch.
-      held.state = RunState::kExited;
-      held.cause = ExitCause::kFull;
+      held.state = TaskPhase::kExited;
+      held.cause = ExitReason::kInsufficientResources;
       Changed();
       continue;
     }
@@ -88,17 +89,17 @@
   if (image != images_.end() && image->second) return Launch(now, key, held);
   if (image != images_.end()) return;  // on its way for another task
   images_[held->spec->image] = false;
-  Command& fetch = Say(Command::Kind::kFetch);
+  Action& fetch = Say(Action::Kind::kFetch);
   fetch.text = held->spec->image;
   fetch.gb = held->spec->image_gb;
 }
 
 void Agent::Launch(Micros now, const TaskKey& key, Held* held) {
-  const bool gang = held->spec->shape == Shape::kGang;
-  held->state = gang ? RunState::kGathering : RunState::kRunning;
+  const bool gang = held->spec->kind == JobKind::kGang;
+  held->state = gang ? TaskPhase::kWaitingForGang : TaskPhase::kRunning;
   if (gang) held->waits_until = now + settings_.gang_wait;
   held->launched = true;
-  Say(Command::Kind::kLaunch).task = key;
+  Say(Action::Kind::kLaunch).task = key;
   Changed();
 }
 
@@ -107,7 +108,7 @@
   if (it == images_.end()) return;
   it->second = true;
   for (auto& [key, held] : tasks_) {
-    if (held.state == RunState::kFetching && held.spec && held.spec->image == image) {
+    if (held.state == TaskPhase::kFetchingImage && held.spec && held.spec->image == image) {
       Launch(now, key, &held);
     }
   }
@@ -115,46 +116,47 @@
 
 void Agent::OnGangComplete(Micros, const TaskKey& task) {
   auto it = tasks_.find(task);
-  if (it == tasks_.end() || it->second.state != RunState::kGathering) return;
-  it->second.state = RunState::kRunning;
+  if (it == tasks_.end() || it->second.state != TaskPhase::kWaitingForGang) return;
+  it->second.state = TaskPhase::kRunning;
   it->second.waits_until = kNever;
   Changed();
 }
 
-void Agent::OnExit(Micros, const TaskKey& task, ExitCause cause, bool saved) {
+void Agent::OnExit(Micros, const TaskKey& task, ExitReason cause, bool saved) {
   auto it = tasks_.find(task);
-  if (it == tasks_.end() || it->second.state == RunState::kExited) return;
+  if (it == tasks_.end() || it->second.state == TaskPhase::kExited) return;
   it->second.launched = false;  // it is gone already
   Exit(task, &it->second, cause, saved);
 }
 
-void Agent::Halt(Micros, const Order& order) {
+void Agent::Halt(Micros, const Command& order) {
   const TaskKey key{order.ref, order.attempt};
   auto it = tasks_.find(key);
-  if (it == tasks_.end() || it->second.state == RunState::kExited) return;
+  if (it == tasks_.end() || it->second.state == TaskPhase::kExited) return;
   Held& held = it->second;
-  const bool can_save = held.spec && held.spec->checkpoint_every > Micros{};
-  if (held.state == RunState::kFlushing && order.grace > Micros{}) return;  // is at it
-  if (held.state == RunState::kRunning && can_save && order.grace >= held.spec->save_time) {
-    held.state = RunState::kFlushing;
-    Say(Command::Kind::kSave).task = key;
+  const bool can_save = held.spec && held.spec->checkpoint_interval > Micros{};
+  if (held.state == TaskPhase::kCheckpointing && order.grace_period > Micros{}) return;  // is at it
+  if (held.state == TaskPhase::kRunning && can_save &&
+      order.grace_period >= held.spec->checkpoint_duration) {
+    held.state = TaskPhase::kCheckpointing;
+    Say(Action::Kind::kSave).task = key;
     return Changed();
   }
-  Exit(key, &held, ExitCause::kHalted, false);
+  Exit(key, &held, ExitReason::kStopped, false);
 }
 
-void Agent::Obey(Micros now, const std::vector<Order>& orders) {
-  for (const Order& order : orders) {
+void Agent::Obey(Micros now, const std::vector<Command>& orders) {
+  for (const Command& order : orders) {
     switch (order.verb) {
-      case Order::Verb::kStart:
+      case Command::Verb::kStart:
         Start(now, order);
         break;
-      case Order::Verb::kHalt:
+      case Command::Verb::kStop:
         Halt(now, order);
         break;
-      case Order::Verb::kClear: {
+      case Command::Verb::kForget: {
         auto it = tasks_.find({order.ref, order.attempt});
-        if (it == tasks_.end() || it->second.state != RunState::kExited) break;
+        if (it == tasks_.end() || it->second.state != TaskPhase::kExited) break;
         tasks_.erase(it);
         Changed();
       }
@@ -171,7 +173,7 @@
 }
 
 int Agent::OnDirect(Micros now, uint64_t fencing_token, uint64_t session,
-                    const std::vector<Order>& orders) {
+                    const std::vector<Command>& orders) {
   EndWhatIsDue(now);
   if (fencing_token < fencing_token_ || session != session_) return 409;
   SeeToken(now, fencing_token);
@@ -179,15 +181,15 @@
   return 200;
 }
 
-Report Agent::Status() {
-  Report r;
+Heartbeat Agent::Status() {
+  Heartbeat r;
   r.machine = settings_.machine.id;
   r.endpoint = settings_.machine.endpoint;
   r.type = settings_.machine.type;
   r.zone = settings_.machine.zone;
   r.spot = settings_.machine.spot;
-  r.session = session_;
-  r.seq = ++sequence_;
+  r.agent_epoch = session_;
+  r.sequence = ++sequence_;
   r.fencing_token = fencing_token_;
   for (const auto& [key, held] : tasks_) {
     r.tasks.push_back({key.ref, key.attempt, held.state, held.cause, held.saved});
@@ -205,11 +207,11 @@
   changed_ = false;
   sent_at_ = now;
   reported_session_ = session_;
-  Command& c = Say(Command::Kind::kReport);
+  Action& c = Say(Action::Kind::kReport);
   c.report_id = ++report_id_;
   c.controller = at_;
   c.report = Status();
-  if (notice_at_) c.report.notice = std::max(Micros{}, *notice_at_ - now);
+  if (notice_at_) c.report.preemption_notice = std::max(Micros{}, *notice_at_ - now);
 }
 
 // When the next report is due, a quarter more or less than the interval.
@@ -219,7 +221,7 @@
   report_at_ = sent_at_ + std::max(kLeastGap, settings_.report_every.Scaled(share));
 }
 
-void Agent::OnAnswer(Micros now, uint64_t report_id, const CheckinAnswer& answer) {
+void Agent::OnAnswer(Micros now, uint64_t report_id, const HeartbeatResponse& answer) {
   if (!reporting_ || report_id != report_id_) return;
   // What has run out ends first, but no report leaves before the answer's orders are carried out:
   // the controllers take a report without a start as the proof that it never came.
@@ -230,7 +232,7 @@
   Tick(now);
 }
 
-void Agent::Heed(Micros now, const CheckinAnswer& answer) {
+void Agent::Heed(Micros now, const HeartbeatResponse& answer) {
   if (answer.status == 200) {
     // One with a lower token is dropped and renews nothing; this node is kept all the same.
     if (reported_session_ != session_ || answer.fencing_token < fencing_token_ ||
@@ -238,7 +240,7 @@
       return;
     lease_end_ = std::max(lease_end_, sent_at_ + settings_.lease);
     SeeToken(now, answer.fencing_token);
-    return Obey(now, answer.orders);
+    return Obey(now, answer.commands);
   }
   const auto& names = settings_.controllers;
   const auto named = std::find(names.begin(), names.end(), answer.leader);
@@ -254,7 +256,7 @@
 
 void Agent::NextSession(Micros now) {
   for (auto& [key, held] : tasks_) {
-    if (held.state != RunState::kExited) Exit(key, &held, ExitCause::kHalted, false);
+    if (held.state != TaskPhase::kExited) Exit(key, &held, ExitReason::kStopped, false);
   }
   tasks_.clear();
   ++session_;
@@ -265,7 +267,7 @@
 void Agent::EndWhatIsDue(Micros now) {
   if (now > lease_end_) NextSession(now);
   for (auto& [key, held] : tasks_) {
-    if (held.waits_until <= now) Exit(key, &held, ExitCause::kAlone, false);
+    if (held.waits_until <= now) Exit(key, &held, ExitReason::kGangIncomplete, false);
   }
 }
 
--- a/src/agent/core/agent.h
+++ b/src/agent/core/agent.h
@@ -29,7 +29,7 @@
 };
 
 // What the machine is to do. Everything is done in order.
-struct Command {
+struct Action {
   enum class Kind {
     kReport,    // send `report` to `controller`; one is under way at a time
     kDescribe,  // fetch the description of job `text`
@@ -42,7 +42,7 @@
   Kind kind = Kind::kReport;
   uint64_t report_id = 0;
   size_t controller = 0;
-  Report report;
+  Heartbeat report;
   std::string text;
   double gb = 0;
   TaskKey task;
@@ -57,20 +57,20 @@
   Micros NextDeadline() const;
 
   // The answer to a report; status 0: none within the time, or no connection.
-  void OnAnswer(Micros now, uint64_t report_id, const CheckinAnswer& answer);
+  void OnAnswer(Micros now, uint64_t report_id, const HeartbeatResponse& answer);
   // POST /do. The report to answer with is Status() afterwards; 200 or 409.
   int OnDirect(Micros now, uint64_t fencing_token, uint64_t session,
-               const std::vector<Order>& orders);
-  Report Status();  // takes a new sequence number
+               const std::vector<Command>& orders);
+  Heartbeat Status();  // takes a new sequence number
 
   void OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec);
   void OnImage(Micros now, const std::string& image);
   void OnGangComplete(Micros now, const TaskKey& task);  // waiting is over: it runs
   // A task has ended by itself, or after kSave. What it was killed for is known here already.
-  void OnExit(Micros now, const TaskKey& task, ExitCause cause, bool saved);
+  void OnExit(Micros now, const TaskKey& task, ExitReason cause, bool saved);
   void SetNotice(Micros now, std::optional<Micros> left);
 
-  std::vector<Command> Take() { return std::exchange(out_, {}); }
+  std::vector<Action> Take() { return std::exchange(out_, {}); }
   uint64_t session() const { return session_; }
   uint64_t fencing_token() const { return fencing_token_; }
   size_t tasks() const { return tasks_.size(); }
@@ -79,23 +79,23 @@
 
  private:
   struct Held {
-    RunState state = RunState::kFetching;
-    ExitCause cause = ExitCause::kNone;
+    TaskPhase state = TaskPhase::kFetchingImage;
+    ExitReason cause = ExitReason::kNone;
     bool saved = false;
     bool launched = false;
     std::optional<JobSpec> spec;
     Micros waits_until = kNever;  // a gang's task that waits for the others
   };
 
-  void Heed(Micros now, const CheckinAnswer& answer);
+  void Heed(Micros now, const HeartbeatResponse& answer);
   void EndWhatIsDue(Micros now);
   Micros ReportDue() const;
-  void Obey(Micros now, const std::vector<Order>& orders);
-  void Start(Micros now, const Order& order);
-  void Halt(Micros now, const Order& order);
+  void Obey(Micros now, const std::vector<Command>& orders);
+  void Start(Micros now, const Command& order);
+  void Halt(Micros now, const Command& order);
   void Admit(Micros now, const TaskKey& key, Held* held);
   void Launch(Micros now, const TaskKey& key, Held* held);
-  void Exit(const TaskKey& key, Held* held, ExitCause cause, bool saved);
+  void Exit(const TaskKey& key, Held* held, ExitReason cause, bool saved);
   void SeeToken(Micros now, uint64_t fencing_token);
   void NextSession(Micros now);
   void SendReport(Micros now);
@@ -103,7 +103,7 @@
   void Changed() { changed_ = true; }
   bool ImageWanted(const std::string& image) const;
   Resources Used() const;
-  Command& Say(Command::Kind kind) {
+  Action& Say(Action::Kind kind) {
     out_.emplace_back();
     out_.back().kind = kind;
     return out_.back();
@@ -124,7 +124,7 @@
   Micros sent_at_, report_at_, hold_until_;
   bool changed_ = false;
   Micros token_change_from_;  // a higher fencing token counts as a change again from here on
-  std::vector<Command> out_;
+  std::vector<Action> out_;
 };
 
 }  // namespace badgershore::agent
--- a/src/check/cancel_model.cpp
+++ b/src/check/cancel_model.cpp
@@ -20,9 +20,9 @@
 class World : public Play {
  public:
   struct Watch {
-    StateOp op;
+    StateRequest op;
     Micros sent;
-    std::optional<StateReply> held;  // carried out, on its way
+    std::optional<StateResponse> held;  // carried out, on its way
   };
   struct Node {
     std::unique_ptr<Asker> asker;
@@ -76,7 +76,7 @@
     }
     if (!std::exchange(n->won, false)) return;
     n->jobs = std::make_unique<Mirror>(
-        n->asker.get(), keys::kJob, [n](Micros, const Entry& e) { n->knows = !e.erased; },
+        n->asker.get(), keys::kJob, [n](Micros, const Entry& e) { n->knows = !e.deleted; },
         [](Micros) {}, kWatch);
     n->authority = std::make_unique<LeaderAuthority>(n->election.get(), n->jobs.get(), kCancel,
                                                      kWorkerLease, kLease);
@@ -88,32 +88,33 @@
     for (int round = 0; round < 8; ++round) {
       LeaderContext(&n);
       if (n.jobs) n.jobs->Tick(Clock(i));
-      std::vector<StateOp> ops = std::exchange(n.asker->out.state, {});
+      std::vector<StateRequest> ops = std::exchange(n.asker->out.state_requests, {});
       if (ops.empty()) break;
-      for (StateOp& op : ops) {
-        if (op.kind == StateOp::Kind::kWatch) {
+      for (StateRequest& op : ops) {
+        if (op.kind == StateRequest::Kind::kWatch) {
           n.watches.push_back({op, now, {}});
           continue;
         }
-        StateReply r;
-        r.outcome = StateReply::Outcome::kRefused;
-        const bool lost = n.hangs && op.kind == StateOp::Kind::kList && op.key == keys::kJob;
+        StateResponse r;
+        r.outcome = StateResponse::Outcome::kRefused;
+        const bool lost = n.hangs && op.kind == StateRequest::Kind::kList && op.key == keys::kJob;
         if (served && !lost) r = state.Carry(now, i, op);
-        if (r.ok() && op.kind == StateOp::Kind::kList && op.key == keys::kJob) n.news_at = Clock(i);
+        if (r.ok() && op.kind == StateRequest::Kind::kList && op.key == keys::kJob)
+          n.news_at = Clock(i);
         n.asker->Reply(Clock(i), op.id, r);
       }
     }
     for (Watch& w : std::exchange(n.watches, {})) {
       if (!w.held && served) {
-        StateReply r = state.Since(w.op);
-        if (!r.entries.empty() || now - w.sent >= w.op.span) w.held = r;
+        StateResponse r = state.Since(w.op);
+        if (!r.entries.empty() || now - w.sent >= w.op.duration) w.held = r;
       }
       const bool of_jobs = w.op.key == keys::kJob;
       if (w.held && !(n.hangs && of_jobs)) {
         if (of_jobs) n.news_at = Clock(i);
         n.asker->Reply(Clock(i), w.op.id, *w.held);
-      } else if (now - w.sent > w.op.span + kPatience) {
-        StateReply none;
+      } else if (now - w.sent > w.op.duration + kPatience) {
+        StateResponse none;
         n.asker->Reply(Clock(i), w.op.id, none);
       } else {
         n.watches.push_back(std::move(w));
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -16,9 +16,9 @@
   struct Node {
     std::unique_ptr<Asker> asker;
     std::unique_ptr<Election> election;
-    std::vector<StateOp> late;                           // sent, not carried out yet
-    std::vector<std::pair<RequestId, StateReply>> held;  // carried out, not answered yet
-    std::vector<StateOp> watches;
+    std::vector<StateRequest> late;                         // sent, not carried out yet
+    std::vector<std::pair<RequestId, StateResponse>> held;  // carried out, not answered yet
+    std::vector<StateRequest> watches;
     bool retiring = false;
   };
   explicit World(const ElectionPlan& p) : plan(p), nodes(static_cast<size_t>(p.nodes)) {
@@ -56,16 +56,16 @@
   void Serve(size_t i, How how) {
     Node& n = nodes[i];
     for (int round = 0; round < 6; ++round) {
-      std::vector<StateOp> ops = std::exchange(n.asker->out.state, {});
+      std::vector<StateRequest> ops = std::exchange(n.asker->out.state_requests, {});
       if (ops.empty()) return;
-      for (StateOp& op : ops) {
-        if (op.kind == StateOp::Kind::kWatch) {
+      for (StateRequest& op : ops) {
+        if (op.kind == StateRequest::Kind::kWatch) {
           n.watches.push_back(op);
         } else if (how == How::kLateRequest) {
           n.late.push_back(op);
         } else {
-          StateReply r = state.Carry(now, i, op);
-          if (how == How::kLost) r = StateReply{};
+          StateResponse r = state.Carry(now, i, op);
+          if (how == How::kLost) r = StateResponse{};
           if (how == How::kLateAnswer) {
             n.held.emplace_back(op.id, r);
           } else {
@@ -77,8 +77,8 @@
   }
   void News(size_t i) {
     Node& n = nodes[i];
-    for (StateOp& op : std::exchange(n.watches, {})) {
-      StateReply r = state.Since(op);
+    for (StateRequest& op : std::exchange(n.watches, {})) {
+      StateResponse r = state.Since(op);
       if (r.entries.empty()) {
         n.watches.push_back(op);
       } else {
@@ -107,7 +107,7 @@
     if (what == "ends") {
       ++ends;
       // Back at once. What its last life had under way is carried out at any later time, or never.
-      for (StateOp& op : nodes[i].late) orphans.emplace_back(i, std::move(op));
+      for (StateRequest& op : nodes[i].late) orphans.emplace_back(i, std::move(op));
       Start(i);
       return;
     }
@@ -119,8 +119,8 @@
     }
     if (what == "answers") {
       for (auto& [id, r] : std::exchange(n.held, {})) n.asker->Reply(Clock(i), id, r);
-      for (const StateOp& op : std::exchange(n.late, {})) {
-        StateReply r = state.Carry(now, i, op);
+      for (const StateRequest& op : std::exchange(n.late, {})) {
+        StateResponse r = state.Carry(now, i, op);
         n.asker->Reply(Clock(i), op.id, r);
       }
       return Serve(i, How::kAtOnce);
@@ -167,18 +167,18 @@
     for (const auto& [of, op] : orphans) {
       key += "orphan" + std::to_string(of) + ' ' + std::to_string(static_cast<int>(op.kind)) + ' ' +
              std::to_string(op.lease) + ' ';
-      for (const Guard& g : op.guards) key += std::to_string(g.stamp) + ' ';
+      for (const Precondition& g : op.preconditions) key += std::to_string(g.version) + ' ';
     }
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
       key += '|' + n.election->Show(Clock(i));
-      for (const StateOp& op : n.late) {
+      for (const StateRequest& op : n.late) {
         key += " late" + std::to_string(static_cast<int>(op.kind)) + std::to_string(op.lease);
       }
       for (const auto& [id, r] : n.held) {
-        key += " held" + std::to_string(static_cast<int>(r.outcome)) + std::to_string(r.epoch);
+        key += " held" + std::to_string(static_cast<int>(r.outcome)) + std::to_string(r.revision);
       }
-      for (const StateOp& op : n.watches) key += " w" + std::to_string(op.revision);
+      for (const StateRequest& op : n.watches) key += " w" + std::to_string(op.revision);
     }
     return key;
   }
@@ -193,7 +193,7 @@
  private:
   ElectionPlan plan;
   std::vector<Node> nodes;
-  std::vector<std::pair<size_t, StateOp>> orphans;  // sent by a life that has ended
+  std::vector<std::pair<size_t, StateRequest>> orphans;  // sent by a life that has ended
   Micros now = Seconds(10);
   int times = 0, ends = 0, lates = 0, losses = 0, retires = 0;
   SmallState state;
--- a/src/check/limits_model.cpp
+++ b/src/check/limits_model.cpp
@@ -4,7 +4,7 @@
 
 namespace badgershore::check {
 
-using limits::CellNote;
+using limits::CellMessage;
 using limits::kLimitCpu;
 
 LimitsModel::LimitsModel(const LimitsPlan& plan)
@@ -41,7 +41,7 @@
       c.has_record = c.old_has = true;
     }
     for (const CellState& c : cells_) {
-      for (const CellNote& note : c.escrow.Notes()) {
+      for (const CellMessage& note : c.escrow.Notes()) {
         cells_[static_cast<size_t>(note.to[0] - 'a')].escrow.OnNote(note, 0);
       }
     }
@@ -127,7 +127,7 @@
       }
     }
   }
-  for (const CellNote& note : c.escrow.Notes()) {
+  for (const CellMessage& note : c.escrow.Notes()) {
     on_its_way_[{cell, note.to[0] - 'a'}] = note;  // what was there is lost
   }
 }
@@ -164,7 +164,7 @@
       // As if the others' numbers agreed.
       for (int k = 0; k < plan_.cells; ++k) {
         if (k == cell) continue;
-        CellNote note;
+        CellMessage note;
         note.from = Name(k);
         note.to = Name(cell);
         note.nonce = nonce_;
@@ -186,7 +186,7 @@
   } else {
     const std::pair<int, int> pair{who[0] - 'a', who[1] - 'a'};
     auto& from = what == "late" ? late_ : on_its_way_;
-    const CellNote note = from.at(pair);
+    const CellMessage note = from.at(pair);
     if (what == "held-back") {
       --repeats_;
       late_[pair] = note;  // comes once more, at any later time
--- a/src/check/limits_model.h
+++ b/src/check/limits_model.h
@@ -47,8 +47,8 @@
 
   LimitsPlan plan_;
   std::vector<CellState> cells_;
-  std::map<std::pair<int, int>, limits::CellNote> on_its_way_;  // the newest of each pair
-  std::map<std::pair<int, int>, limits::CellNote> late_;        // one that was held back
+  std::map<std::pair<int, int>, limits::CellMessage> on_its_way_;  // the newest of each pair
+  std::map<std::pair<int, int>, limits::CellMessage> late_;        // one that was held back
   int crashes_, restores_, repeats_;
   uint64_t nonce_ = 0;
 };
--- a/src/check/small_state.h
+++ b/src/check/small_state.h
@@ -48,60 +48,60 @@
       Erase(key);
     }
   }
-  StateReply Since(const StateOp& watch) const {
-    StateReply r;
-    r.outcome = StateReply::Outcome::kOk;
-    r.epoch = epoch;
+  StateResponse Since(const StateRequest& watch) const {
+    StateResponse r;
+    r.outcome = StateResponse::Outcome::kOk;
+    r.revision = epoch;
     for (const Entry& e : log) {
-      if (e.stamp > watch.revision && e.key.starts_with(watch.key)) r.entries.push_back(e);
+      if (e.version > watch.revision && e.key.starts_with(watch.key)) r.entries.push_back(e);
     }
     return r;
   }
-  StateReply Carry(Micros now, size_t asker, const StateOp& op) {
-    using K = StateOp::Kind;
-    StateReply r;
-    r.outcome = StateReply::Outcome::kOk;
-    r.epoch = epoch;
+  StateResponse Carry(Micros now, size_t asker, const StateRequest& op) {
+    using K = StateRequest::Kind;
+    StateResponse r;
+    r.outcome = StateResponse::Outcome::kOk;
+    r.revision = epoch;
     switch (op.kind) {
       case K::kList:
         for (const auto& [key, item] : items) {
           if (key.starts_with(op.key)) r.entries.push_back({key, item.value, item.stamp});
         }
         break;
-      case K::kGrant:
+      case K::kGrantLease:
         r.lease = lease_of_name ? asker + 1 : ++last_lease;
-        leases[r.lease] = now + op.span;
+        leases[r.lease] = now + op.duration;
         break;
-      case K::kTouch:
+      case K::kRenewLease:
         if (!leases.contains(op.lease)) {
-          r.outcome = StateReply::Outcome::kMissing;
+          r.outcome = StateResponse::Outcome::kNotFound;
         } else {
           leases[op.lease] = now + lease;
         }
         break;
-      case K::kRelease:
+      case K::kRevokeLease:
         Drop(op.lease);
         break;
-      case K::kCommit: {
-        for (const Guard& g : op.guards) {
+      case K::kCompareAndSwap: {
+        for (const Precondition& g : op.preconditions) {
           auto it = items.find(g.key);
-          if ((it == items.end() ? 0 : it->second.stamp) != g.stamp && !no_guards) {
-            r.failed.push_back(g.key);
+          if ((it == items.end() ? 0 : it->second.stamp) != g.version && !no_guards) {
+            r.failed_keys.push_back(g.key);
           }
         }
-        for (const Change& c : op.changes) {
+        for (const Mutation& c : op.mutations) {
           if (c.lease != 0 && !leases.contains(c.lease)) {
-            r.outcome = StateReply::Outcome::kInvalid;
+            r.outcome = StateResponse::Outcome::kInvalid;
             return r;
           }
         }
-        if (!r.failed.empty()) {
-          r.outcome = StateReply::Outcome::kConflict;
+        if (!r.failed_keys.empty()) {
+          r.outcome = StateResponse::Outcome::kConflict;
           return r;
         }
-        r.epoch = ++epoch;
-        for (const Change& c : op.changes) {
-          if (c.erase) {
+        r.revision = ++epoch;
+        for (const Mutation& c : op.mutations) {
+          if (c.is_delete) {
             Erase(c.key);
           } else {
             Put(c.key, c.value, c.lease);
--- a/src/config/cells.cpp
+++ b/src/config/cells.cpp
@@ -18,17 +18,18 @@
     CellSite cell;
     cell.name = m.Text("name");
     if (!names.insert(cell.name).second) m.Fail("name", "a name that no other cell has");
-    cell.founding = m.Flag("founding", true);
-    cell.drains = m.Flag("drains", false);
-    cell.heir = m.Text("heir", "");
-    cell.backs = m.Texts("backs");
-    if (cell.backs.empty() && cell.heir.empty()) m.Fail("backs", "its controllers' addresses");
-    for (const std::string& addr : cell.backs) {
+    cell.initial_member = m.Flag("founding", true);
+    cell.draining = m.Flag("drains", false);
+    cell.successor = m.Text("heir", "");
+    cell.addresses = m.Texts("backs");
+    if (cell.addresses.empty() && cell.successor.empty())
+      m.Fail("backs", "its controllers' addresses");
+    for (const std::string& addr : cell.addresses) {
       if (addr.find(':') == std::string::npos) m.Fail("backs", "addresses as HOST:PORT");
       if (!backs.insert(addr).second) m.Fail("backs", "addresses that no other cell has");
       if (addr == back) plan.self = cell.name;
     }
-    founding += cell.founding;
+    founding += cell.initial_member;
     m.NoOthers();
     plan.cells.push_back(std::move(cell));
   });
@@ -37,10 +38,11 @@
   if (founding == 0) top.Fail("cells", "at least one founding cell");
   if (plan.self.empty()) top.Fail("cells", "a cell with this controller's address " + back);
   for (const CellSite& c : plan.cells) {
-    if (c.heir.empty()) continue;
+    if (c.successor.empty()) continue;
     if (c.name == plan.self) top.Fail("cells", "a cell with controllers not to have an heir");
     bool good = false;
-    for (const CellSite& other : plan.cells) good |= other.name == c.heir && other.heir.empty();
+    for (const CellSite& other : plan.cells)
+      good |= other.name == c.successor && other.successor.empty();
     if (!good) top.Fail("cells", "the heir of " + c.name + " to be a cell that is not gone");
   }
   top.NoOthers();
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -89,7 +89,7 @@
   s.member = top.Name("member");
   s.site = top.Name("site");
   s.client_listen = top.Address("client_listen");
-  s.back = top.Address("back");
+  s.peer_listen = top.Address("back");
   top.Each("members", true, [&](const Reader& r, const Value&) {
     s.members.push_back({r.Name("member"), r.Address("addr")});
   });
@@ -113,18 +113,18 @@
   params.Each("objectives", false, [&](const Reader& r, const Value&) {
     Objective o;
     o.kind = r.Name("kind");
-    o.lane = r.Name("class");
+    o.job_class = r.Name("class");
     o.within = Seconds(r.NumberOr("within_s", 0));
     o.share = r.NumberOr("share", 0);
     s.objectives.push_back(std::move(o));
   });
   const Reader workers = params.Object("workers");
-  s.report_every = workers.Span("report_s");
-  s.worker_lease = workers.Span("lease_s");
-  s.gang_wait = workers.Span("gang_wait_s");
-  s.gang_peer = workers.Span("gang_peer_s");
-  s.cancel_within = workers.Span("cancel_s");
-  if (s.cancel_within <= s.worker_lease) {
+  s.heartbeat_interval = workers.Span("report_s");
+  s.agent_lease = workers.Span("lease_s");
+  s.gang_start_timeout = workers.Span("gang_wait_s");
+  s.gang_failure_timeout = workers.Span("gang_peer_s");
+  s.cancel_deadline = workers.Span("cancel_s");
+  if (s.cancel_deadline <= s.agent_lease) {
     workers.Fail("cancel_s", "more than lease_s, or a cancellation can't be kept");
   }
   const Reader state = params.Object("state");
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -49,24 +49,25 @@
 
 JobClass ReadClass(YamlMap m, const PlatformSettings& site) {
   JobClass c;
-  c.spec.lane = m.Text("name");
+  c.spec.job_class = m.Text("name");
   c.spec.team = m.Text("team", site.teams.at(0).name);
   if (!site.FindTeam(c.spec.team)) m.Fail("team", "one of the site's teams");
-  c.spec.shape = static_cast<Shape>(m.OneOf("shape", {"array", "gang", "service"}, 0));
-  c.spec.rank = static_cast<Rank>(m.OneOf("rank", {"production", "high", "normal", "idle"}, 2));
+  c.spec.kind = static_cast<JobKind>(m.OneOf("shape", {"array", "gang", "service"}, 0));
+  c.spec.priority =
+      static_cast<Priority>(m.OneOf("rank", {"production", "high", "normal", "idle"}, 2));
   c.least_tasks = static_cast<int>(m.Whole("least_tasks", 1, 100000, 1));
   c.most_tasks = static_cast<int>(m.Whole("most_tasks", c.least_tasks, 100000, c.least_tasks));
   c.spec.need = {Milli(&m, "cpus", 1), Milli(&m, "gpus", 0), Milli(&m, "mem_gb", 1)};
   c.spec.image_gb = m.Number("image_gb", 0, 1e4, 1);
   c.images = static_cast<int>(m.Whole("images", 1, 1000, 1));
   c.run = m.Span("run_s", 0.1, 1e5);
-  c.spec.estimate = m.Span("expect_s", 0, 1e5, c.run.ToSeconds());
-  c.spec.checkpoint_every = m.Span("save_every_s", 0, 1e5, 0);
-  c.spec.save_time = m.Span("save_s", 0, 1e4, 1);
-  if (m.Has("due_s")) c.spec.due = m.Span("due_s", 0, 1e6);
+  c.spec.estimated_runtime = m.Span("expect_s", 0, 1e5, c.run.ToSeconds());
+  c.spec.checkpoint_interval = m.Span("save_every_s", 0, 1e5, 0);
+  c.spec.checkpoint_duration = m.Span("save_s", 0, 1e4, 1);
+  if (m.Has("due_s")) c.spec.deadline = m.Span("due_s", 0, 1e6);
   c.spec.same_zone = m.Flag("same_zone", false);
   c.spec.spread = m.Flag("spread", false);
-  c.spec.spot_ok = m.Flag("spot", false);
+  c.spec.allow_spot = m.Flag("spot", false);
   c.per_minute = m.Number("per_minute", 0, 1e4, 0);
   c.cell = m.Text("cell", "");
   c.start_within = m.Span("start_within_s", 0, 1e6, 0);
@@ -118,11 +119,11 @@
 // What a scenario's site is where it does not say otherwise.
 PlatformSettings SmallSiteSettings() {
   PlatformSettings s;
-  s.report_every = Seconds(1);
-  s.worker_lease = Seconds(10);
-  s.gang_wait = Seconds(30);
-  s.gang_peer = Seconds(6);
-  s.cancel_within = Seconds(40);
+  s.heartbeat_interval = Seconds(1);
+  s.agent_lease = Seconds(10);
+  s.gang_start_timeout = Seconds(30);
+  s.gang_failure_timeout = Seconds(6);
+  s.cancel_deadline = Seconds(40);
   s.state_rps = 250;
   s.state_write_rps = 15;
   s.cloud_list_lag = Seconds(3);
@@ -140,12 +141,12 @@
   s.zones = site->Texts("zones");
   if (s.zones.empty()) s.zones = {"a"};
   s.site = s.zones[0];
-  s.report_every = span("report_s", 0.5, 60, otherwise.report_every);
-  s.worker_lease = span("lease_s", 2, 600, otherwise.worker_lease);
-  s.gang_wait = span("gang_wait_s", 1, 600, otherwise.gang_wait);
-  s.gang_peer = span("gang_peer_s", 0.5, 60, otherwise.gang_peer);
-  const double least_cancel_s = s.worker_lease.ToSeconds() + 1;
-  s.cancel_within = span("cancel_s", least_cancel_s, 3600, otherwise.cancel_within);
+  s.heartbeat_interval = span("report_s", 0.5, 60, otherwise.heartbeat_interval);
+  s.agent_lease = span("lease_s", 2, 600, otherwise.agent_lease);
+  s.gang_start_timeout = span("gang_wait_s", 1, 600, otherwise.gang_start_timeout);
+  s.gang_failure_timeout = span("gang_peer_s", 0.5, 60, otherwise.gang_failure_timeout);
+  const double least_cancel_s = s.agent_lease.ToSeconds() + 1;
+  s.cancel_deadline = span("cancel_s", least_cancel_s, 3600, otherwise.cancel_deadline);
   s.state_rps = site->Number("state_rps", 1, 1e6, otherwise.state_rps);
   s.state_write_rps = site->Number("state_write_rps", 1, 1e6, otherwise.state_write_rps);
   s.state_value_kb = site->Number("state_value_kb", 1, 64, otherwise.state_value_kb);
@@ -189,7 +190,7 @@
   top.Each("objectives", [&](YamlMap m) {
     Objective o;
     o.kind = m.Text("kind");
-    o.lane = m.Text("class");
+    o.job_class = m.Text("class");
     o.within = m.Span("within_s", 0.1, 1e6);
     o.share = m.Number("share", 0, 1, 0.9);
     m.NoOthers();
--- a/src/core/frontend/asker.h
+++ b/src/core/frontend/asker.h
@@ -11,30 +11,30 @@
 
 class Asker {
  public:
-  using OnState = std::function<void(Micros now, StateReply&)>;
-  using OnCloud = std::function<void(Micros now, CloudReply&)>;
-  using OnDirect = std::function<void(Micros now, DirectReply&)>;
+  using OnState = std::function<void(Micros now, StateResponse&)>;
+  using OnCloud = std::function<void(Micros now, CloudResponse&)>;
+  using OnDirect = std::function<void(Micros now, CommandResponse&)>;
 
   Effects out;
 
-  void State(StateOp op, OnState then) {
+  void State(StateRequest op, OnState then) {
     op.id = ++next_;
     state_.emplace(op.id, std::move(then));
-    out.state.push_back(std::move(op));
+    out.state_requests.push_back(std::move(op));
   }
-  void Cloud(CloudOp op, OnCloud then) {
+  void Cloud(CloudRequest op, OnCloud then) {
     op.id = ++next_;
     cloud_.emplace(op.id, std::move(then));
-    out.cloud.push_back(std::move(op));
+    out.cloud_requests.push_back(std::move(op));
   }
-  void Direct(DirectOp op, OnDirect then) {
+  void Direct(CommandRequest op, OnDirect then) {
     op.id = ++next_;
     direct_.emplace(op.id, std::move(then));
-    out.direct.push_back(std::move(op));
+    out.command_requests.push_back(std::move(op));
   }
-  void Reply(Micros now, RequestId id, StateReply& r) { Run(state_, now, id, r); }
-  void Reply(Micros now, RequestId id, CloudReply& r) { Run(cloud_, now, id, r); }
-  void Reply(Micros now, RequestId id, DirectReply& r) { Run(direct_, now, id, r); }
+  void Reply(Micros now, RequestId id, StateResponse& r) { Run(state_, now, id, r); }
+  void Reply(Micros now, RequestId id, CloudResponse& r) { Run(cloud_, now, id, r); }
+  void Reply(Micros now, RequestId id, CommandResponse& r) { Run(direct_, now, id, r); }
 
   void Log(LogLine::Level level, std::string text) { out.log.push_back({level, std::move(text)}); }
   void Info(std::string text) { Log(LogLine::Level::kInfo, std::move(text)); }
--- a/src/core/frontend/controller.cpp
+++ b/src/core/frontend/controller.cpp
@@ -41,7 +41,7 @@
 }
 
 void Controller::OnControl(Micros, const Entry& e) {
-  if (e.erased) return;
+  if (e.deleted) return;
   if (const auto* type = std::get_if<MachineType>(&e.value)) {
     types_[type->name] = *type;
   } else if (const auto* count = std::get_if<TypeCountRecord>(&e.value)) {
@@ -52,7 +52,7 @@
 std::string Controller::NeverRuns(const JobSpec& spec) const {
   const Team* team = settings_.FindTeam(spec.team);
   if (!team) return "unknown team";
-  const Resources all = spec.shape == Shape::kArray ? spec.need : spec.need.Times(spec.tasks);
+  const Resources all = spec.kind == JobKind::kArray ? spec.need : spec.need.Times(spec.tasks);
   // Where there are several cells, what others never give can't be gathered here.
   const double share =
       options_.cells.cells.empty() ? 1 : limits::Gatherable(LimitsSettings(options_.cells));
@@ -71,10 +71,10 @@
   return "a task fits no allowed machine type";
 }
 
-JobDigest Controller::DigestOf(const std::string& job) const {
+JobStatus Controller::DigestOf(const std::string& job) const {
   if (leader_) return leader_->Digest(job);
   auto it = digests_.find(job);
-  return it == digests_.end() ? JobDigest{job, 0, 0} : it->second;
+  return it == digests_.end() ? JobStatus{job, 0, 0} : it->second;
 }
 
 std::string Controller::LeaderName(Micros now) const {
@@ -104,7 +104,7 @@
   }
   members_->SetReach(now - state_ok_at_ < Seconds(2), now - checkin_at_ < Seconds(2));
   members_->Tick(now);
-  for (auto& m : members_->Take()) asker_.out.members.push_back(std::move(m));
+  for (auto& m : members_->Take()) asker_.out.membership_messages.push_back(std::move(m));
   for (const auto& m : settings_.members) {
     const bool firm = members_->Firm(now, m.name);
     if (firm && firm_.insert(m.name).second) {
@@ -137,7 +137,7 @@
 void Controller::OnMember(Micros now, const membership::Message& message) {
   if (!members_) return;
   members_->OnMessage(now, message);
-  for (auto& m : members_->Take()) asker_.out.members.push_back(std::move(m));
+  for (auto& m : members_->Take()) asker_.out.membership_messages.push_back(std::move(m));
 }
 
 // Of the peers heard of late: first those that reach the state service, then those that workers
@@ -149,7 +149,8 @@
     if (now - peer.heard_at > Millis(1500)) continue;
     const membership::Members::View* view = members_ ? members_->Find(name) : nullptr;
     if (view && view->state != membership::State::kAlive) continue;
-    const auto lacks = std::make_tuple(!peer.note.state_ok, !peer.note.hears_workers);
+    const auto lacks =
+        std::make_tuple(!peer.note.state_service_reachable, !peer.note.receives_heartbeats);
     if (best.empty() || lacks < least) {
       best = name;
       least = lacks;
@@ -166,7 +167,7 @@
     asker_.Info("ends: its place goes to " + Successor(now));
     if (members_) {
       members_->Leave(now);
-      for (auto& m : members_->Take()) asker_.out.members.push_back(std::move(m));
+      for (auto& m : members_->Take()) asker_.out.membership_messages.push_back(std::move(m));
     }
   }
   if (leader_ && leader_->recording() && now < retire_by_) return;
@@ -180,7 +181,7 @@
   // Where nobody reaches the state service the users are no better off elsewhere; where a peer
   // does, they are.
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard_at < Seconds(3) && peer.note.state_ok) return false;
+    if (now - peer.heard_at < Seconds(3) && peer.note.state_service_reachable) return false;
   }
   return true;
 }
@@ -191,7 +192,8 @@
 // then the fault may be the workers'.
 void Controller::GiveWay(Micros now) {
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard_at > Millis(1500) || !peer.note.state_ok || !peer.note.hears_workers) {
+    if (now - peer.heard_at > Millis(1500) || !peer.note.state_service_reachable ||
+        !peer.note.receives_heartbeats) {
       continue;
     }
     return election_->StepDown(
@@ -199,21 +201,21 @@
   }
 }
 
-PeerNote Controller::NoteOf(Micros now) const {
-  PeerNote note;
+PeerStatus Controller::NoteOf(Micros now) const {
+  PeerStatus note;
   note.from = settings_.member;
   note.term = election_->seen_term();
   note.leader = election_->leader();
-  note.state_ok = now - state_ok_at_ < Seconds(2);
-  note.hears_workers = now - checkin_at_ < Seconds(2);
+  note.state_service_reachable = now - state_ok_at_ < Seconds(2);
+  note.receives_heartbeats = now - checkin_at_ < Seconds(2);
   return note;
 }
 
 void Controller::CallOff(Micros now, const std::string& job, bool recorded) {
   if (leader_) return recorded ? leader_->CalledOff(now, job) : leader_->CallOff(now, job);
-  PeerNote note = NoteOf(now);
-  (recorded ? note.called_off : note.calls_off).push_back(job);
-  asker_.out.notes.push_back(std::move(note));
+  PeerStatus note = NoteOf(now);
+  (recorded ? note.cancelled : note.cancelling).push_back(job);
+  asker_.out.peer_statuses.push_back(std::move(note));
 }
 
 void Controller::Tick(Micros now, int64_t time_of_day_ms) {
@@ -225,64 +227,65 @@
   if (!looking_ && now >= look_at_ && now - state_ok_at_ > Millis(900)) {
     looking_ = true;
     look_at_ = now + Millis(900);
-    StateOp op;
-    op.key = keys::kLead;
-    asker_.State(op, [this](Micros, StateReply&) { looking_ = false; });
+    StateRequest op;
+    op.key = keys::kLeader;
+    asker_.State(op, [this](Micros, StateResponse&) { looking_ = false; });
   }
   if (now >= note_at_) {
     note_at_ = now + Millis(500);
-    PeerNote note = NoteOf(now);
-    if (leader_) note.jobs = leader_->Digests();
-    asker_.out.notes.push_back(std::move(note));
+    PeerStatus note = NoteOf(now);
+    if (leader_) note.job_statuses = leader_->Digests();
+    asker_.out.peer_statuses.push_back(std::move(note));
   }
   if (retiring_) Retire(now);
   former_.reset();
 }
 
-void Controller::OnState(Micros now, RequestId id, StateReply reply) {
-  if (reply.outcome != StateReply::Outcome::kRefused &&
-      reply.outcome != StateReply::Outcome::kUnknown) {
+void Controller::OnState(Micros now, RequestId id, StateResponse reply) {
+  if (reply.outcome != StateResponse::Outcome::kRefused &&
+      reply.outcome != StateResponse::Outcome::kUnknown) {
     state_ok_at_ = now;
   }
   asker_.Reply(now, id, reply);
   former_.reset();
 }
 
-void Controller::OnCloud(Micros now, RequestId id, CloudReply reply) {
+void Controller::OnCloud(Micros now, RequestId id, CloudResponse reply) {
   asker_.Reply(now, id, reply);
   former_.reset();
 }
 
-void Controller::OnDirect(Micros now, RequestId id, DirectReply reply) {
-  if (reply.report) election_->NoteFencingToken(reply.report->fencing_token);
+void Controller::OnDirect(Micros now, RequestId id, CommandResponse reply) {
+  if (reply.heartbeat) election_->NoteFencingToken(reply.heartbeat->fencing_token);
   asker_.Reply(now, id, reply);
   former_.reset();
 }
 
-void Controller::OnCheckin(Micros now, RequestId token, const Report& report) {
+void Controller::OnCheckin(Micros now, RequestId token, const Heartbeat& report) {
   election_->NoteFencingToken(report.fencing_token);
-  CheckinAnswer answer;
-  answer.token = token;
+  HeartbeatResponse answer;
+  answer.request_id = token;
   if (leader_ && report.fencing_token > election_->term()) {
     election_->StepDown(now, "a worker has seen a higher fencing token");
   }
   if (leader_) {
-    const auto verdict = leader_->Checkin(now, token, report, &answer.orders);
+    const auto verdict = leader_->Checkin(now, token, report, &answer.commands);
     if (verdict != Leader::Verdict::kStale) checkin_at_ = now;
     if (verdict == Leader::Verdict::kLater) return;
-    if (verdict == Leader::Verdict::kStale) return asker_.out.checkins.push_back(std::move(answer));
+    if (verdict == Leader::Verdict::kStale)
+      return asker_.out.heartbeat_responses.push_back(std::move(answer));
     if (verdict == Leader::Verdict::kAnswer) {
       answer.status = 200;
       answer.fencing_token = election_->term();
-      answer.good_until = leader_->GoodUntil(answer.orders);
-      asker_.out.checkins.push_back(std::move(answer));
+      answer.valid_until = leader_->GoodUntil(answer.commands);
+      asker_.out.heartbeat_responses.push_back(std::move(answer));
       return;
     }
   }
   if (!leader_) checkin_at_ = now;
   answer.leader = LeaderName(now);
   answer.status = answer.leader.empty() ? 503 : 421;
-  asker_.out.checkins.push_back(std::move(answer));
+  asker_.out.heartbeat_responses.push_back(std::move(answer));
   former_.reset();
 }
 
@@ -299,12 +302,12 @@
 }
 
 // Only leaders deal in rights; the others' word comes again.
-void Controller::OnCell(Micros now, const limits::CellNote& note) {
+void Controller::OnCell(Micros now, const limits::CellMessage& note) {
   if (leader_ && leader_->ready()) leader_->OnCell(now, note);
   former_.reset();
 }
 
-void Controller::OnPeer(Micros now, const PeerNote& note) {
+void Controller::OnPeer(Micros now, const PeerStatus& note) {
   // Terms are read from the state service and only grow: this one is over, though this controller
   // may be the one that the state service refuses.
   if (leader_ && note.term > election_->term()) {
@@ -312,16 +315,16 @@
     former_.reset();
   }
   if (leader_) {
-    for (const std::string& job : note.calls_off) leader_->CallOff(now, job);
-    for (const std::string& job : note.called_off) leader_->CalledOff(now, job);
+    for (const std::string& job : note.cancelling) leader_->CallOff(now, job);
+    for (const std::string& job : note.cancelled) leader_->CalledOff(now, job);
   }
   peers_[note.from] = Peer{now, note};
   if (note.leader == note.from && note.term >= digest_term_) {
     digest_term_ = note.term;
     digests_.clear();
-    for (const JobDigest& d : note.jobs) digests_[d.job] = d;
+    for (const JobStatus& d : note.job_statuses) digests_[d.job] = d;
   }
-  peers_[note.from].note.jobs.clear();
+  peers_[note.from].note.job_statuses.clear();
 }
 
 }  // namespace badgershore
--- a/src/core/frontend/controller.h
+++ b/src/core/frontend/controller.h
@@ -21,16 +21,16 @@
 
   // Inputs. `now` never goes back.
   void Tick(Micros now, int64_t time_of_day_ms);
-  void OnState(Micros now, RequestId id, StateReply reply);
-  void OnCloud(Micros now, RequestId id, CloudReply reply);
-  void OnDirect(Micros now, RequestId id, DirectReply reply);
-  void OnCheckin(Micros now, RequestId token, const Report& report);
+  void OnState(Micros now, RequestId id, StateResponse reply);
+  void OnCloud(Micros now, RequestId id, CloudResponse reply);
+  void OnDirect(Micros now, RequestId id, CommandResponse reply);
+  void OnCheckin(Micros now, RequestId token, const Heartbeat& report);
   void OnSubmit(Micros now, RequestId token, Submission submission);
   void OnQuery(Micros now, RequestId token, const std::string& job);
   void OnWithdraw(Micros now, RequestId token, const std::string& job);
-  void OnPeer(Micros now, const PeerNote& note);
+  void OnPeer(Micros now, const PeerStatus& note);
   void OnMember(Micros now, const membership::Message& message);
-  void OnCell(Micros now, const limits::CellNote& note);
+  void OnCell(Micros now, const limits::CellMessage& note);
 
   // It is to end: a leader gives its place to the fittest peer; asked again until `retired`.
   void Retire(Micros now);
@@ -47,13 +47,13 @@
   void OnControl(Micros now, const Entry& e);
   bool TypesKnown() const;
   std::string NeverRuns(const JobSpec& spec) const;
-  JobDigest DigestOf(const std::string& job) const;
+  JobStatus DigestOf(const std::string& job) const;
   void WatchPeers(Micros now);
   int Turn(Micros now) const;
   std::string Successor(Micros now) const;
   std::string LeaderName(Micros now) const;
   void GiveWay(Micros now);
-  PeerNote NoteOf(Micros now) const;
+  PeerStatus NoteOf(Micros now) const;
   void CallOff(Micros now, const std::string& job, bool recorded);
 
   PlatformSettings settings_;
@@ -74,12 +74,12 @@
   Micros retire_by_;  // what is being recorded is not waited for any longer
   struct Peer {
     Micros heard_at;
-    PeerNote note;
+    PeerStatus note;
   };
   std::map<std::string, Peer> peers_;
   std::optional<membership::Members> members_;
   std::set<std::string> firm_;  // suspicions that were logged
-  std::unordered_map<std::string, JobDigest> digests_;
+  std::unordered_map<std::string, JobStatus> digests_;
   uint64_t digest_term_ = 0;
 };
 
--- a/src/core/frontend/election.cpp
+++ b/src/core/frontend/election.cpp
@@ -18,35 +18,35 @@
           [](Micros) {}) {}
 
 void Election::OnControl(Micros now, const Entry& e) {
-  if (e.key == keys::kLead) {
+  if (e.key == keys::kLeader) {
     // The watch may still deliver what came before our own win.
-    if (e.stamp < lead_revision_) return;
-    lead_revision_ = e.stamp;
+    if (e.version < lead_revision_) return;
+    lead_revision_ = e.version;
     // Gone, or somebody else's: our lease is over, whatever our clock says.
-    if (leads() && e.stamp > term_stamp_) StepDown(now, "the lead key has changed");
-    lead_stamp_ = e.erased ? 0 : e.stamp;
+    if (leads() && e.version > term_stamp_) StepDown(now, "the lead key has changed");
+    lead_stamp_ = e.deleted ? 0 : e.version;
     leader_.clear();
-    const auto* lead = std::get_if<LeadRecord>(&e.value);
-    if (lead && !e.erased) leader_ = lead->leader;
+    const auto* lead = std::get_if<LeaderRecord>(&e.value);
+    if (lead && !e.deleted) leader_ = lead->leader;
     // Only what was there before the first look can be a last life's. It is over: this process has
     // its address. Its lease need not be waited out, and its word counts for nothing.
     if (!mirror_.synced() && !leads() && leader_ == member_) {
-      last_life_ = e.stamp;
+      last_life_ = e.version;
       leader_.clear();
     }
-    if (e.erased) {
-      free_stamp_ = e.stamp;
+    if (e.deleted) {
+      free_stamp_ = e.version;
       WaitForTurn(now);
     }
-  } else if (e.key == keys::kNext) {
-    const auto* named = std::get_if<LeadRecord>(&e.value);
-    next_ = named && !e.erased ? named->leader : "";
-    next_stamp_ = e.stamp;
+  } else if (e.key == keys::kSuccessor) {
+    const auto* named = std::get_if<LeaderRecord>(&e.value);
+    next_ = named && !e.deleted ? named->leader : "";
+    next_stamp_ = e.version;
     if (lead_stamp_ == 0) WaitForTurn(now);
   } else if (e.key == keys::kTerm) {
-    if (const auto* term = std::get_if<TermRecord>(&e.value); term && !e.erased) {
+    if (const auto* term = std::get_if<TermRecord>(&e.value); term && !e.deleted) {
       seen_term_ = term->term;
-      seen_term_stamp_ = e.stamp;
+      seen_term_stamp_ = e.version;
     }
   } else {
     callbacks_.control(now, e);
@@ -68,17 +68,17 @@
   retiring_ = true;
   if (!leads() || handing_over_) return;
   handing_over_ = true;
-  StateOp commit;
-  commit.kind = StateOp::Kind::kCommit;
-  commit.guards = {{keys::kTerm, term_stamp_}, {keys::kLead, lead_stamp_}};
-  commit.changes = {{keys::kLead, true, {}, 0},
-                    {keys::kNext, false, LeadRecord{successor, term_}, 0}};
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kTerm, term_stamp_}, {keys::kLeader, lead_stamp_}};
+  commit.mutations = {{keys::kLeader, true, {}, 0},
+                      {keys::kSuccessor, false, LeaderRecord{successor, term_}, 0}};
   (void)now;
-  asker_->State(commit, [this, successor](Micros t, StateReply& r) {
+  asker_->State(commit, [this, successor](Micros t, StateResponse& r) {
     handing_over_ = false;
     // Done, or told so by the watch meanwhile; without an answer the lease is ended, which is the
     // same but for the name.
-    if (!leads() || r.outcome == StateReply::Outcome::kRefused) return;
+    if (!leads() || r.outcome == StateResponse::Outcome::kRefused) return;
     StepDown(t, "handing over to " + (successor.empty() ? "whoever stands first" : successor));
   });
 }
@@ -94,37 +94,38 @@
 void Election::Stand(Micros now) {
   role_ = Role::kCandidate;
   stand_at_ = now + Millis(400) + Millis(150).Scaled(position_);
-  StateOp grant;
-  grant.kind = StateOp::Kind::kGrant;
-  grant.span = lease_;
-  asker_->State(grant, [this, sent = now](Micros, StateReply& r) {
+  StateRequest grant;
+  grant.kind = StateRequest::Kind::kGrantLease;
+  grant.duration = lease_;
+  asker_->State(grant, [this, sent = now](Micros, StateResponse& r) {
     if (!r.ok()) {
       role_ = Role::kFollower;
       return;
     }
     const uint64_t lease = r.lease;
     const uint64_t term = std::max(seen_term_, seen_fencing_token_) + 1;
-    StateOp commit;
-    commit.kind = StateOp::Kind::kCommit;
-    commit.guards = {{keys::kLead, Vacant() ? lead_stamp_ : 0}, {keys::kTerm, seen_term_stamp_}};
-    commit.changes = {{keys::kLead, false, LeadRecord{member_, term}, lease},
-                      {keys::kTerm, false, TermRecord{term, member_}, 0}};
-    asker_->State(commit, [this, sent, lease, term](Micros now, StateReply& r) {
+    StateRequest commit;
+    commit.kind = StateRequest::Kind::kCompareAndSwap;
+    commit.preconditions = {{keys::kLeader, Vacant() ? lead_stamp_ : 0},
+                            {keys::kTerm, seen_term_stamp_}};
+    commit.mutations = {{keys::kLeader, false, LeaderRecord{member_, term}, lease},
+                        {keys::kTerm, false, TermRecord{term, member_}, 0}};
+    asker_->State(commit, [this, sent, lease, term](Micros now, StateResponse& r) {
       if (!r.ok()) {
         // With no answer the key may be ours or yet become ours: end the lease, so that a late
         // commit can't hold the place for nobody.
         role_ = Role::kFollower;
-        StateOp drop;
-        drop.kind = StateOp::Kind::kRelease;
+        StateRequest drop;
+        drop.kind = StateRequest::Kind::kRevokeLease;
         drop.lease = lease;
-        asker_->State(drop, [](Micros, StateReply&) {});
+        asker_->State(drop, [](Micros, StateResponse&) {});
         return;
       }
       role_ = Role::kLeader;
       term_ = seen_term_ = term;
-      term_stamp_ = seen_term_stamp_ = r.epoch;
+      term_stamp_ = seen_term_stamp_ = r.revision;
       leader_ = member_;
-      lead_stamp_ = lead_revision_ = r.epoch;
+      lead_stamp_ = lead_revision_ = r.revision;
       lease_id_ = lease;
       lease_until_ = UsableLease(sent);
       confirmed_at_ = sent;
@@ -137,17 +138,17 @@
 
 void Election::Renew(Micros now) {
   renewing_ = true;
-  StateOp touch;
-  touch.kind = StateOp::Kind::kTouch;
+  StateRequest touch;
+  touch.kind = StateRequest::Kind::kRenewLease;
   touch.lease = lease_id_;
-  asker_->State(touch, [this, sent = now, term = term_](Micros now, StateReply& r) {
+  asker_->State(touch, [this, sent = now, term = term_](Micros now, StateResponse& r) {
     if (!leads() || term != term_) return;
     renewing_ = false;
     if (r.ok()) {
       lease_until_ = UsableLease(sent);
       confirmed_at_ = sent;
       renew_at_ = sent + lease_.Scaled(0.2);
-    } else if (r.outcome == StateReply::Outcome::kMissing) {
+    } else if (r.outcome == StateResponse::Outcome::kNotFound) {
       StepDown(now, "the lease has ended");
     } else {
       renew_at_ = now + Millis(150);
@@ -176,10 +177,10 @@
   role_ = Role::kFollower;
   if (leader_ == member_) leader_.clear();
   stand_at_ = now + aside;
-  StateOp drop;
-  drop.kind = StateOp::Kind::kRelease;
+  StateRequest drop;
+  drop.kind = StateRequest::Kind::kRevokeLease;
   drop.lease = lease_id_;
-  asker_->State(drop, [](Micros, StateReply&) {});
+  asker_->State(drop, [](Micros, StateResponse&) {});
   callbacks_.lost(now);
 }
 
--- a/src/core/frontend/frontend.h
+++ b/src/core/frontend/frontend.h
@@ -27,7 +27,7 @@
     std::function<void(Micros, const std::string&)> calls_off;
     std::function<void(Micros, const std::string&)> called_off;  // and is recorded
     // Display counts of a live job.
-    std::function<JobDigest(const std::string&)> digest;
+    std::function<JobStatus(const std::string&)> digest;
   };
   Frontend(Asker* asker, Facts facts) : asker_(asker), facts_(std::move(facts)) {}
 
@@ -36,16 +36,16 @@
   void Withdraw(RequestId token, const std::string& id, int rounds = 4);
 
  private:
-  using OnRead = std::function<void(Micros, const StateReply& job)>;
+  using OnRead = std::function<void(Micros, const StateResponse& job)>;
   // Reads the job; answers by itself when it is over, unknown (`missing_status`) or can't be read.
   void Read(RequestId token, const std::string& id, int missing_status, const std::string& reason,
             const OnRead& live);
-  void Answer(RequestId token, int status, const std::string& id, Phase phase, int done = 0,
+  void Answer(RequestId token, int status, const std::string& id, JobPhase phase, int done = 0,
               int running = 0);
   void Refuse(RequestId token, int status, const std::string& id, std::string reason,
               int retry_after_s = 1);
   bool AnswerFinal(RequestId token, const std::string& id);
-  void Remember(const std::string& id, const EndRecord& end);
+  void Remember(const std::string& id, const JobEndRecord& end);
   void AnswerLive(RequestId token, const std::string& id);
 
   Asker* asker_;
@@ -53,7 +53,7 @@
   Admission admission_;
   // Ends never change, so they may be kept; the oldest fall out.
   static constexpr size_t kFinals = 4096;
-  std::unordered_map<std::string, EndRecord> finals_;
+  std::unordered_map<std::string, JobEndRecord> finals_;
   std::list<std::string> finals_order_;
 };
 
--- a/src/core/frontend/mirror.h
+++ b/src/core/frontend/mirror.h
@@ -41,26 +41,26 @@
  private:
   void Next(Micros now) {
     busy_ = true;
-    StateOp op;
+    StateRequest op;
     op.key = prefix_;
     if (listing_) {
-      op.kind = StateOp::Kind::kList;
-      op.after = after_;
+      op.kind = StateRequest::Kind::kList;
+      op.start_after = after_;
       if (after_.empty()) sent_at_ = now;  // a list is as old as its first page
     } else {
       sent_at_ = now;
-      op.kind = StateOp::Kind::kWatch;
+      op.kind = StateRequest::Kind::kWatch;
       op.revision = epoch_;
-      op.span = wait_;
+      op.duration = wait_;
     }
-    asker_->State(op, [this, alive = alive_](Micros now, StateReply& r) {
+    asker_->State(op, [this, alive = alive_](Micros now, StateResponse& r) {
       if (*alive) Got(now, r);
     });
   }
 
-  void Got(Micros now, StateReply& r) {
+  void Got(Micros now, StateResponse& r) {
     busy_ = false;
-    if (r.outcome == StateReply::Outcome::kCompacted) {
+    if (r.outcome == StateResponse::Outcome::kCompacted) {
       synced_ = false;
       listing_ = true;
       after_.clear();
@@ -70,7 +70,7 @@
       retry_at_ = now + Millis(300);
       // What has changed may be too much for one answer, which then never gets through; a list
       // comes in pages. In an outage this is tried in vain, as the watch would be.
-      if (r.outcome != StateReply::Outcome::kRefused && ++failed_ >= kTries && !listing_) {
+      if (r.outcome != StateResponse::Outcome::kRefused && ++failed_ >= kTries && !listing_) {
         failed_ = 0;
         listing_ = true;
         after_.clear();
@@ -79,7 +79,7 @@
     }
     failed_ = 0;
     if (!listing_) {
-      epoch_ = std::max(epoch_, r.epoch);
+      epoch_ = std::max(epoch_, r.revision);
       for (const Entry& e : r.entries) Apply(now, e);
       known_as_of_ = sent_at_;
       // Some changes come in a burst; a little pause lets one watch carry them all.
@@ -88,7 +88,7 @@
     }
     // The watch begins at the first page's epoch, so nothing between the pages is missed.
     if (after_.empty()) {
-      first_epoch_ = r.epoch;
+      first_epoch_ = r.revision;
       seen_.clear();
     }
     for (const Entry& e : r.entries) {
@@ -96,11 +96,11 @@
       Apply(now, e);
       after_ = e.key;
     }
-    if (r.more) return Next(now);
+    if (r.has_more) return Next(now);
     for (auto it = known_.begin(); it != known_.end();) {
       const std::string key = *it;
       ++it;
-      if (!seen_.count(key)) Apply(now, Entry{key, {}, r.epoch, true});
+      if (!seen_.count(key)) Apply(now, Entry{key, {}, r.revision, true});
     }
     seen_.clear();
     after_.clear();
@@ -113,7 +113,7 @@
   }
 
   void Apply(Micros now, const Entry& e) {
-    if (e.erased) {
+    if (e.deleted) {
       known_.erase(e.key);
     } else {
       known_.insert(e.key);
--- a/src/core/leader/blame.cpp
+++ b/src/core/leader/blame.cpp
@@ -22,35 +22,37 @@
 
 Blame::Verdict Blame::Failed(Micros now, Machine* m, Job* job, int task) {
   TaskState& t = job->tasks[static_cast<size_t>(task)];
-  const bool before = job->AtFault();
-  if (std::find(job->failed_on.begin(), job->failed_on.end(), m->id) == job->failed_on.end() &&
-      job->failed_on.size() < 8) {
-    job->failed_on.push_back(m->id);
+  const bool before = job->IsFaulty();
+  if (std::find(job->failed_machines.begin(), job->failed_machines.end(), m->id) ==
+          job->failed_machines.end() &&
+      job->failed_machines.size() < 8) {
+    job->failed_machines.push_back(m->id);
   }
   ++job->failures;
   if (t.failures < 200) ++t.failures;
-  if (job->AtFault()) {
+  if (job->IsFaulty()) {
     if (!before) Condemn(now, job);
     // A round of failures that were under way counts as one.
-    if (now >= job->probe_at) {
-      job->probe_pause = before ? std::min(job->probe_pause.Scaled(2), kLastProbe) : kFirstProbe;
-      job->probe_at = now + job->probe_pause;
+    if (now >= job->next_probe_at) {
+      job->probe_backoff =
+          before ? std::min(job->probe_backoff.Scaled(2), kLastProbe) : kFirstProbe;
+      job->next_probe_at = now + job->probe_backoff;
     }
-    job->probes = 1;
-    return {job->gang() ? job->probe_at - now : Micros{}, false};
+    job->probe_limit = 1;
+    return {job->IsGang() ? job->next_probe_at - now : Micros{}, false};
   }
   Verdict v;
   v.pause = Seconds(0.25 * std::pow(2.0, std::min<int>(t.failures, 6)));
   if (m->failed_jobs.empty()) m->failing_since = now;
   m->failed_jobs.insert(job->spec.id);
-  ++m->failures_in_row;
+  ++m->consecutive_failures;
   // Of jobs that nothing speaks for, those that failed elsewhere too say nothing of this machine.
   int jobs = 0;
   for (const std::string& id : m->failed_jobs) {
     const Job* other = job_table().Find(id);
-    jobs += other && (Proven(*other) || other->failed_on.size() == 1);
+    jobs += other && (Proven(*other) || other->failed_machines.size() == 1);
   }
-  v.machine_at_fault = jobs >= 2 || (m->failures_in_row >= kInARow &&
+  v.machine_at_fault = jobs >= 2 || (m->consecutive_failures >= kInARow &&
                                      (Proven(*job) || now - m->failing_since > kNothingElse));
   return v;
 }
@@ -58,26 +60,27 @@
 // Its machines are cleared of it, and its tasks leave their queues.
 void Blame::Condemn(Micros now, Job* job) {
   asker()->Info("job " + job->spec.id + " fails wherever it starts: one task at a time");
-  job->probe_at = now;
+  job->next_probe_at = now;
   for (const auto& [id, m] : machine_table().machines()) {
-    if (m->failed_jobs.erase(job->spec.id) > 0 && m->failed_jobs.empty()) m->failures_in_row = 0;
+    if (m->failed_jobs.erase(job->spec.id) > 0 && m->failed_jobs.empty())
+      m->consecutive_failures = 0;
   }
   dispatch().Unbind(job);
 }
 
 void Blame::Done(Micros now, Machine* m, Job* job) {
-  m->failures_in_row = 0;
+  m->consecutive_failures = 0;
   m->failed_jobs.clear();
-  if (!job->AtFault()) return;
+  if (!job->IsFaulty()) return;
   job->failures /= 2;
-  job->probes = std::min(job->probes * 2, kMostProbes);
-  job->probe_pause = kFirstProbe;
-  job->probe_at = now;
+  job->probe_limit = std::min(job->probe_limit * 2, kMostProbes);
+  job->probe_backoff = kFirstProbe;
+  job->next_probe_at = now;
 }
 
 int Blame::MayBind(Micros now, const Job& job) const {
-  if (!job.AtFault()) return std::numeric_limits<int>::max();
-  return now < job.probe_at ? 0 : std::max(0, job.probes - job.placed - job.queued);
+  if (!job.IsFaulty()) return std::numeric_limits<int>::max();
+  return now < job.next_probe_at ? 0 : std::max(0, job.probe_limit - job.placed - job.queued);
 }
 
 }  // namespace badgershore
--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -14,28 +14,29 @@
                             Micros now) const {
   Resources room = m.type->size - used;
   // Room made for a guarantee is that job's.
-  if (m.kept_for && m.kept_for != &job && now < m.kept_until) {
-    room = room - m.kept_for->spec.need.Times(m.kept_tasks);
+  if (m.held_for && m.held_for != &job && now < m.held_until) {
+    room = room - m.held_for->spec.need.Times(m.held_tasks);
   }
-  if (job.gang() || !m.reserved) return room;
+  if (job.IsGang() || !m.reserved_for) return room;
   // Where a waiting gang is to go, other work of no higher rank leaves it its room.
-  const Job& gang = *m.reserved;
-  if (m.reserved_later && job.spec.rank > gang.spec.rank) return room;
-  const bool first = gang.spec.rank <= job.spec.rank || now - gang.arrived > options().age_limit;
+  const Job& gang = *m.reserved_for;
+  if (m.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
+  const bool first =
+      gang.spec.priority <= job.spec.priority || now - gang.submitted_at > options().age_limit;
   return first ? room - gang.spec.need.Times(m.reserved_members) : room;
 }
 
 void Dispatch::StartOne(Micros now, Machine* m, Job* job, int task, Resources* used,
-                        std::vector<Order>* orders) {
+                        std::vector<Command>* orders) {
   --job->queued;
-  if (m->kept_for == job && --m->kept_tasks <= 0) m->kept_for = nullptr;  // the room is taken
+  if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;  // the room is taken
   const uint64_t attempt = occupancy().NextAttempt();
   occupancy().Place(now, m, job, task, attempt);
   *used = *used + job->spec.need;
-  orders->push_back({Order::Verb::kStart, {job->spec.id, task}, attempt, {}});
+  orders->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
 }
 
-void Dispatch::StartFrom(Micros now, Machine* m, std::vector<Order>* orders) {
+void Dispatch::StartFrom(Micros now, Machine* m, std::vector<Command>* orders) {
   Resources used = m->Used();
   // A report's answer stays far below 64 KiB; the rest goes with the next one.
   while (orders->size() < 300) {
@@ -52,8 +53,8 @@
 // old job would keep all others from beginning: the first task of one that has not begun goes
 // before.
 int Dispatch::Claim(Micros now, const Job& job) const {
-  if (job.Unbegun(now, options().age_limit)) return 2;
-  return job.Aged(now, options().age_limit) ? 1 : 0;
+  if (job.IsUnstarted(now, options().age_limit)) return 2;
+  return job.IsAged(now, options().age_limit) ? 1 : 0;
 }
 
 // A task that needs much of a machine never finds it empty enough where small ones come all the
@@ -65,20 +66,20 @@
   std::map<int, Job*> oldest;  // by team
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
-    if (job->gang() || job->queued == 0 || !job->Unbegun(now, options().age_limit)) continue;
+    if (job->IsGang() || job->queued == 0 || !job->IsUnstarted(now, options().age_limit)) continue;
     if (!occupancy().LimitAllows(*job, 1) || machine_table().Held(*job)) continue;
     Job*& first = oldest[job->team];
-    if (!first || job->arrived < first->arrived) first = job;
+    if (!first || job->submitted_at < first->submitted_at) first = job;
   }
   for (const auto& [team, job] : oldest) {
     Machine* best = nullptr;
     for (const auto& [id, m] : machine_table().machines()) {
-      if (m->kept_for == job && now < m->kept_until) {
+      if (m->held_for == job && now < m->held_until) {
         best = m.get();
         break;
       }
-      if (!machine_table().Ready(*m, now) || m->reserved || (m->kept_for && now < m->kept_until) ||
-          !Allows(job->spec, *m->type, m->zone, m->spot) ||
+      if (!machine_table().Ready(*m, now) || m->reserved_for ||
+          (m->held_for && now < m->held_until) || !Allows(job->spec, *m->type, m->zone, m->spot) ||
           !occupancy().ZoneAllows(*job, m->zone) ||
           !job->spec.need.Fits(m->type->size - m->GangUse())) {
         continue;
@@ -87,15 +88,15 @@
       if (!best || room(*m) > room(*best)) best = m.get();
     }
     if (!best) continue;
-    best->kept_for = job;
-    best->kept_tasks = 1;
-    best->kept_until = now + Seconds(3);
+    best->held_for = job;
+    best->held_tasks = 1;
+    best->held_until = now + Seconds(3);
   }
 }
 
 // The machine's smallest waiting estimate that fits; higher ranks before lower ones, and what has
 // waited past the age limit before all, the oldest first.
-bool Dispatch::TakeQueued(Micros now, Machine* m, Resources* used, std::vector<Order>* orders) {
+bool Dispatch::TakeQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   QueueEntry* best = nullptr;
   int best_claim = 0;
   for (auto it = m->queue.begin(); it != m->queue.end();) {
@@ -118,8 +119,9 @@
     // The queue is in order of estimate, so among the others the first that fits stays.
     const int before = best ? sharing().Before(*job, *best->job) : 1;
     const bool better =
-        before > 0 || (before == 0 && (claim > best_claim || (claim > 0 && claim == best_claim &&
-                                                              job->arrived < best->job->arrived)));
+        before > 0 ||
+        (before == 0 && (claim > best_claim || (claim > 0 && claim == best_claim &&
+                                                job->submitted_at < best->job->submitted_at)));
     if (!better || !occupancy().LimitAllows(*job, 1)) continue;
     if (!job->spec.need.Fits(RoomFor(*m, *job, *used, now)) || machine_table().Held(*job) ||
         !occupancy().ZoneAllows(*job, m->zone)) {
@@ -145,7 +147,7 @@
   }
   // Where machines are retired and kept in turns its tasks are bound anew again and again; one that
   // has not begun does not wait for that.
-  const Micros wait = job->Unbegun(now, options().age_limit) ? Micros{} : options().rebind_wait;
+  const Micros wait = job->IsUnstarted(now, options().age_limit) ? Micros{} : options().rebind_wait;
   if (job->bound.empty() || now - job->bound.front().second < wait) return nullptr;
   return &job->bound.front();
 }
@@ -157,23 +159,25 @@
 }
 
 void Dispatch::MoveHere(Micros now, Machine* m, Job* job, Resources* used,
-                        std::vector<Order>* orders) {
+                        std::vector<Command>* orders) {
   const int task = job->bound.front().first;
   job->bound.pop_front();
-  m->work[static_cast<size_t>(job->bucket)] += WorkOn(job->spec, m->type->size - m->GangUse());
+  m->dispatched_work[static_cast<size_t>(job->bucket)] +=
+      WorkOn(job->spec, m->type->size - m->GangUse());
   StartOne(now, m, job, task, used, orders);
 }
 
 // What is within a guarantee, or of a team that has less than its share, does not wait for its own
 // machine's turn: it moves to any that has room, before that machine's queue.
-bool Dispatch::TakePressing(Micros now, Machine* m, Resources* used, std::vector<Order>* orders) {
+bool Dispatch::TakePressing(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   Job* best = nullptr;
   for (Job* job : sharing().pressing()) {
     if (!Movable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
     if (best) {
       const int before = sharing().Before(*job, *best);
-      if (before < 0 || (before == 0 && std::make_tuple(job->spec.rank, job->arrived) >=
-                                            std::make_tuple(best->spec.rank, best->arrived))) {
+      if (before < 0 ||
+          (before == 0 && std::make_tuple(job->spec.priority, job->submitted_at) >=
+                              std::make_tuple(best->spec.priority, best->submitted_at))) {
         continue;
       }
     }
@@ -186,13 +190,13 @@
 }
 
 // A task that has waited long in another machine's queue moves to this one, which has room.
-bool Dispatch::TakeRebound(Micros now, Machine* m, Resources* used, std::vector<Order>* orders) {
+bool Dispatch::TakeRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   Job* best = nullptr;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
     if (!Movable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
     const auto order = [&](const Job* j) {
-      return std::make_tuple(-Claim(now, *j), j->spec.rank, j->spec.estimate);
+      return std::make_tuple(-Claim(now, *j), j->spec.priority, j->spec.estimated_runtime);
     };
     const int before = best ? sharing().Before(*job, *best) : 1;
     if (before < 0 || (before == 0 && order(best) <= order(job))) continue;
@@ -208,7 +212,8 @@
 // that is stopped runs from its beginning, and a deadline seldom leaves time for that. What can't
 // meet its deadline any more, or has none, fills them meanwhile.
 bool Dispatch::Shuns(Micros now, const Job& job, const Machine& m) const {
-  return job.spec.due && now < job.arrived + *job.spec.due - job.spec.estimate.Scaled(0.8) &&
+  return job.spec.deadline &&
+         now < job.submitted_at + *job.spec.deadline - job.spec.estimated_runtime.Scaled(0.8) &&
          scaler().MayBeCleared(job.spec, *m.type, m.zone, m.spot, now);
 }
 
@@ -220,8 +225,9 @@
   t.bound_at = now;
   ++job->queued;
   job->bound.emplace_back(task, now);
-  m->work[static_cast<size_t>(job->bucket)] += WorkOn(job->spec, able.open);
-  QueueEntry& entry = m->queue[QueueKey{job->spec.rank, job->spec.estimate, job->spec.id}];
+  m->dispatched_work[static_cast<size_t>(job->bucket)] += WorkOn(job->spec, able.open);
+  QueueEntry& entry =
+      m->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
   entry.job = job;
   entry.tasks.emplace_back(task, now);
   m->idle_since = {-1};
@@ -254,7 +260,7 @@
       job->waiting.push_back(job->delayed.begin()->second);
       job->delayed.erase(job->delayed.begin());
     }
-    if (job->gang() || job->waiting.empty() || job->queued >= options().bind_window ||
+    if (job->IsGang() || job->waiting.empty() || job->queued >= options().bind_window ||
         !occupancy().LimitAllows(*job, 1) || machine_table().Held(*job) ||
         blame().MayBind(now, *job) == 0) {
       continue;
@@ -289,7 +295,7 @@
 
 void Dispatch::Unbind(Job* job) {
   for (const auto& [id, m] : machine_table().machines()) {
-    m->queue.erase(QueueKey{job->spec.rank, job->spec.estimate, job->spec.id});
+    m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
   }
   for (int i = 0; i < job->spec.tasks; ++i) {
     TaskState& t = job->tasks[static_cast<size_t>(i)];
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -18,7 +18,7 @@
 
   void BindWaiting(Micros now);
   void KeepForUnbegun(Micros now);
-  void StartFrom(Micros now, Machine* m, std::vector<Order>* orders);
+  void StartFrom(Micros now, Machine* m, std::vector<Command>* orders);
   void Unbind(Machine* m);
   void Unbind(Job* job);  // from all machines' queues
   // What of a machine is open to a job, where `used` is taken.
@@ -28,14 +28,14 @@
   int Claim(Micros now, const Job& job) const;  // the more, the sooner
   bool Shuns(Micros now, const Job& job, const Machine& m) const;
   void Bind(Micros now, Job* job, int task, const Able& able);
-  bool TakeQueued(Micros now, Machine* m, Resources* used, std::vector<Order>* orders);
-  bool TakePressing(Micros now, Machine* m, Resources* used, std::vector<Order>* orders);
+  bool TakeQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  bool TakePressing(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
   const std::pair<int, Micros>* Movable(Micros now, Job* job) const;
   bool FitsHere(Micros now, const Job& job, const Machine& m, const Resources& used) const;
-  void MoveHere(Micros now, Machine* m, Job* job, Resources* used, std::vector<Order>* orders);
-  bool TakeRebound(Micros now, Machine* m, Resources* used, std::vector<Order>* orders);
+  void MoveHere(Micros now, Machine* m, Job* job, Resources* used, std::vector<Command>* orders);
+  bool TakeRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
   void StartOne(Micros now, Machine* m, Job* job, int task, Resources* used,
-                std::vector<Order>* orders);
+                std::vector<Command>* orders);
 
   Micros keep_at_;
   double bind_budget_ = 0;  // machines that may be looked at
--- a/src/core/leader/gangs.cpp
+++ b/src/core/leader/gangs.cpp
@@ -25,7 +25,7 @@
 void Gangs::Tick(Micros now) {
   std::vector<Job*> gangs;
   for (auto& [id, job] : job_table().jobs()) {
-    if (job->gang() && !job->finishing) gangs.push_back(job.get());
+    if (job->IsGang() && !job->finishing) gangs.push_back(job.get());
   }
   // As in the machines' queues: by rank, then the smallest estimate, but the aged before all. What
   // can't start in time any more goes after what can, or in a day of too many gangs every one
@@ -36,9 +36,9 @@
   }
   const auto order = [&](const Job* j) {
     const bool late = now > j->start_by;
-    const bool aged = now - j->arrived > options().age_limit.Scaled(late ? 3 : 1);
-    return std::make_tuple(!j->guaranteed(), j->spec.rank, pressed.at(j->team) != j, !aged, late,
-                           aged ? j->arrived : j->spec.estimate);
+    const bool aged = now - j->submitted_at > options().age_limit.Scaled(late ? 3 : 1);
+    return std::make_tuple(!j->IsGuaranteed(), j->spec.priority, pressed.at(j->team) != j, !aged,
+                           late, aged ? j->submitted_at : j->spec.estimated_runtime);
   };
   std::sort(gangs.begin(), gangs.end(),
             [&](const Job* a, const Job* b) { return order(a) < order(b); });
@@ -53,26 +53,28 @@
       if (turn.others == 0) turn.at = now + kPressEvery;
     }
     // For one that fails wherever it starts nothing else is stopped.
-    if (job->placed > 0 || now < job->not_before || machine_table().Held(*job) || job->AtFault()) {
+    if (job->placed > 0 || now < job->backoff_until || machine_table().Held(*job) ||
+        job->IsFaulty()) {
       Release(job);
       continue;
     }
-    const bool allowed = occupancy().LimitAllows(*job, job->left());
-    if (!allowed && !occupancy().LimitCouldAllow(*job, job->left())) {
+    const bool allowed = occupancy().LimitAllows(*job, job->remaining());
+    if (!allowed && !occupancy().LimitCouldAllow(*job, job->remaining())) {
       Release(job);  // what is kept for it would stand empty
-      job->limit_since = kNever;
+      job->quota_blocked_since = kNever;
     } else {
       waiting_.push_back(job);
-      job->limit_since = allowed ? kNever : std::min(job->limit_since, now);
+      job->quota_blocked_since = allowed ? kNever : std::min(job->quota_blocked_since, now);
     }
     // One that goes before its turn keeps its part while its machines are being cleared, too.
-    if (!allowed || pressed.at(job->team) == job) occupancy().Claim(*job, job->left());
+    if (!allowed || pressed.at(job->team) == job) occupancy().Claim(*job, job->remaining());
   }
   for (Job* job : waiting_) ReserveFor(now, job, pressed.at(job->team) == job);
   if (now >= limit_look_at_) {
     limit_look_at_ = now + Seconds(1);
     for (Job* job : waiting_) {
-      if (job->limit_since < kNever && now - job->limit_since > options().limit_patience) {
+      if (job->quota_blocked_since < kNever &&
+          now - job->quota_blocked_since > options().limit_patience) {
         MakeLimitRoom(now, *job);
         break;
       }
@@ -88,14 +90,16 @@
   Turn& turn = turns_[team];
   if (turn.others < kOthersBetween && now < turn.at) return nullptr;
   const auto work = [](const Job* j) {
-    return static_cast<double>(j->spec.need.cpu) * j->spec.tasks * j->spec.estimate.ToSeconds();
+    return static_cast<double>(j->spec.need.cpu) * j->spec.tasks *
+           j->spec.estimated_runtime.ToSeconds();
   };
   const Job* best = nullptr;
   for (const Job* j : gangs) {
-    if (j->team != team || j->AtFault() || j->placed > 0 || j->began) continue;
-    if (now - j->arrived < options().age_limit.Scaled(kPressAfter)) continue;
+    if (j->team != team || j->IsFaulty() || j->placed > 0 || j->has_run) continue;
+    if (now - j->submitted_at < options().age_limit.Scaled(kPressAfter)) continue;
     if (j->spec.id == turn.whose) return j;  // what is kept for it stays kept
-    if (!best || work(j) > work(best) || (work(j) == work(best) && j->arrived < best->arrived)) {
+    if (!best || work(j) > work(best) ||
+        (work(j) == work(best) && j->submitted_at < best->submitted_at)) {
       best = j;
     }
   }
@@ -107,9 +111,9 @@
   // All members are told at once: the save counts only within the peers' patience.
   for (auto& [id, m] : machine_table().machines()) {
     bool any = false;
-    for (auto it = m->occupants.begin(); it != m->occupants.end();) {
-      Occupant& o = it->second;
-      if (o.job == job && o.unsent) {
+    for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+      Allocation& o = it->second;
+      if (o.job == job && o.start_unsent) {
         const int task = o.ref.task;
         const uint64_t attempt = o.attempt;
         it = occupancy().Erase(m.get(), it);
@@ -119,9 +123,9 @@
         }
         continue;
       }
-      if (o.job == job && !o.exited() && !o.halt) {
-        o.halt = true;
-        o.grace = grace;
+      if (o.job == job && !o.exited() && !o.stop_requested) {
+        o.stop_requested = true;
+        o.grace_period = grace;
         any = true;
       }
       ++it;
@@ -136,37 +140,38 @@
   if (job->placed == 0) {
     // Every member is proved gone; the next attempt is a new one.
     job->gang_attempt = 0;
-    job->gang_ran = job->gang_stopping = false;
-    if (now >= job->not_before && !machine_table().Held(*job)) Place(now, job);
+    job->gang_attempt_ran = job->gang_stopping = false;
+    if (now >= job->backoff_until && !machine_table().Held(*job)) Place(now, job);
     return;
   }
-  if (job->gang_stopping || job->placed == job->left()) return;
+  if (job->gang_stopping || job->placed == job->remaining()) return;
   // A member is missing. Before the gang has run, a replacement completes it; afterwards the
   // others have nothing to wait for.
-  if (job->gang_ran) return Halt(now, job, {});
+  if (job->gang_attempt_ran) return Halt(now, job, {});
   if (!machine_table().Held(*job)) Place(now, job);
 }
 
-bool Gangs::MayStop(const Occupant& o, const Job& gang) const {
-  if (!o.job || o.job->gang()) return false;
-  if (o.job->spec.rank > gang.spec.rank) return true;
+bool Gangs::MayStop(const Allocation& o, const Job& gang) const {
+  if (!o.job || o.job->IsGang()) return false;
+  if (o.job->spec.priority > gang.spec.priority) return true;
   // Its team's guarantee goes before what others have beyond theirs.
-  return gang.guaranteed() && o.team != gang.team && !o.job->service() &&
+  return gang.IsGuaranteed() && o.team != gang.team && !o.job->IsService() &&
          sharing().Beyond(o.team, o.need);
 }
 
 // What a task has run for and loses when it is stopped: one that saves loses the time that its
 // saving and starting anew take.
-Micros Gangs::LostBy(Micros now, const Occupant& o) const {
+Micros Gangs::LostBy(Micros now, const Allocation& o) const {
   const Micros ran =
       std::max(Micros{}, now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at);
-  if (o.job->spec.checkpoint_every.count == 0) return ran;
-  return std::min(ran, o.job->spec.save_time + kRestart);
+  if (o.job->spec.checkpoint_interval.count == 0) return ran;
+  return std::min(ran, o.job->spec.checkpoint_duration + kRestart);
 }
 
-void Gangs::Stop(Occupant* o) {
-  o->halt = true;
-  o->grace = o->job->spec.checkpoint_every.count > 0 ? o->job->spec.save_time : Micros{};
+void Gangs::Stop(Allocation* o) {
+  o->stop_requested = true;
+  o->grace_period =
+      o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
 }
 
 // Where a team's limit keeps a gang waiting, work of lower rank of the same team ends for it: most
@@ -178,15 +183,15 @@
   struct Choice {
     Micros lost;
     Machine* machine;
-    Occupant* o;
+    Allocation* o;
   };
   std::vector<Choice> choices;
   for (const auto& [id, m] : machine_table().machines()) {
-    for (auto& [key, o] : m->occupants) {
+    for (auto& [key, o] : m->allocations) {
       if (o.exited() || o.team != gang.team) continue;
-      if (o.halt) {
+      if (o.stop_requested) {
         missing = missing - o.need;
-      } else if (o.job && o.soft > static_cast<int>(gang.spec.rank)) {
+      } else if (o.job && o.preemptible_priority > static_cast<int>(gang.spec.priority)) {
         choices.push_back({LostBy(now, o), m.get(), &o});
       }
     }
@@ -208,8 +213,8 @@
                                          bool after_gangs) const {
   Resources kept = after_gangs ? Resources{} : m.GangUse();
   double cost = 0;
-  for (const auto& [key, o] : m.occupants) {
-    if (o.exited() || (!after_gangs && o.job && o.job->gang())) continue;
+  for (const auto& [key, o] : m.allocations) {
+    if (o.exited() || (!after_gangs && o.job && o.job->IsGang())) continue;
     const auto cpu = static_cast<double>(o.need.cpu) / 1000;
     if (!o.job) {
       kept = kept + o.need;  // of a job that is over, and on its way out
@@ -219,11 +224,11 @@
     const double ran = std::max(0.0, (now - t.bound_at).ToSeconds());
     if (MayStop(o, gang)) {
       cost += LostBy(now, o).ToSeconds() * cpu;
-    } else if (o.job->service()) {
+    } else if (o.job->IsService()) {
       kept = kept + o.need;
     } else {
       // It may not be stopped: the gang waits for its end, which is worse than any loss.
-      cost += 1e4 + 100 * cpu * std::max(1.0, o.job->spec.estimate.ToSeconds() - ran);
+      cost += 1e4 + 100 * cpu * std::max(1.0, o.job->spec.estimated_runtime.ToSeconds() - ran);
     }
   }
   if (!gang.spec.need.Fits(m.type->size - kept)) return std::nullopt;
@@ -260,11 +265,12 @@
     for (auto& [id, m] : machine_table().machines()) {
       if (!machine_table().Ready(*m, now) || !Allows(gang->spec, *m->type, m->zone, m->spot))
         continue;
-      if ((!only.empty() && m->zone != only) || (m->reserved && m->reserved != gang)) continue;
+      if ((!only.empty() && m->zone != only) || (m->reserved_for && m->reserved_for != gang))
+        continue;
       std::optional<double> cost = CostToClear(now, *m, *gang, pressed);
       if (!cost) continue;
       // What was chosen before stays chosen: its tasks have been stopped already.
-      if (m->reserved == gang) *cost = -1;
+      if (m->reserved_for == gang) *cost = -1;
       if (m->failed_jobs.count(gang->spec.id)) *cost += 1e6;
       choices.push_back({m.get(), *cost});
     }
@@ -275,45 +281,45 @@
     int members = 0;
     double sum = 0;
     for (const Choice& c : choices) {
-      if (members >= gang->left()) break;
+      if (members >= gang->remaining()) break;
       int& here = in_zone[c.machine->zone];
       if (gang->spec.spread && here >= (gang->spec.tasks + 1) / 2) continue;
-      const auto holds = static_cast<int>(
-          std::min<int64_t>(open_on(*c.machine).Holds(gang->spec.need), gang->left() - members));
+      const auto holds = static_cast<int>(std::min<int64_t>(
+          open_on(*c.machine).Holds(gang->spec.need), gang->remaining() - members));
       members += holds;
       here += holds;
       sum += c.cost;
       taken.push_back(c);
     }
-    if (members < gang->left()) continue;
+    if (members < gang->remaining()) continue;
     if (chosen.empty() || sum < least) {
       chosen = taken;
       least = sum;
     }
   }
   Release(gang);
-  gang->reserving = !chosen.empty();
+  gang->has_reservation = !chosen.empty();
   int members = 0;
   bool later = false;
   for (const Choice& c : chosen) {
     Machine* m = c.machine;
-    m->reserved = gang;
+    m->reserved_for = gang;
     m->reserved_members = static_cast<int>(
-        std::min<int64_t>(open_on(*m).Holds(gang->spec.need), gang->left() - members));
+        std::min<int64_t>(open_on(*m).Holds(gang->spec.need), gang->remaining() - members));
     members += m->reserved_members;
     later |= !gang->spec.need.Times(m->reserved_members).Fits(m->type->size - m->GangUse());
   }
   for (const Choice& c : chosen) {
-    c.machine->reserved_later = later;
+    c.machine->reserved_after_gangs = later;
     if (!later) MakeWay(now, c.machine, *gang);
   }
 }
 
 void Gangs::Release(Job* gang) {
-  if (!std::exchange(gang->reserving, false)) return;
+  if (!std::exchange(gang->has_reservation, false)) return;
   for (auto& [id, m] : machine_table().machines()) {
-    if (m->reserved != gang) continue;
-    m->reserved = nullptr;
+    if (m->reserved_for != gang) continue;
+    m->reserved_for = nullptr;
     m->reserved_members = 0;
   }
 }
@@ -322,10 +328,10 @@
 void Gangs::MakeWay(Micros now, Machine* m, const Job& gang) {
   const Resources need = gang.spec.need.Times(m->reserved_members);
   Resources room = m->type->size - m->Used();
-  std::vector<std::pair<Micros, Occupant*>> stoppable;
-  for (auto& [key, o] : m->occupants) {
+  std::vector<std::pair<Micros, Allocation*>> stoppable;
+  for (auto& [key, o] : m->allocations) {
     if (o.exited()) continue;
-    if (o.halt) {
+    if (o.stop_requested) {
       room = room + o.need;
     } else if (MayStop(o, gang)) {
       stoppable.emplace_back(LostBy(now, o), &o);
@@ -357,7 +363,7 @@
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now)) continue;
     for (int task : members) {
-      if (m->occupants.contains({{job.spec.id, task}, job.gang_attempt})) return true;
+      if (m->allocations.contains({{job.spec.id, task}, job.gang_attempt})) return true;
     }
   }
   return false;
@@ -383,7 +389,8 @@
       if (!machine_table().Ready(*m, now) || !Allows(job->spec, *m->type, m->zone, m->spot))
         continue;
       if (!only.empty() && m->zone != only) continue;
-      if (!occupancy().ZoneAllows(*job, m->zone) || (m->reserved && m->reserved != job)) continue;
+      if (!occupancy().ZoneAllows(*job, m->zone) || (m->reserved_for && m->reserved_for != job))
+        continue;
       rooms.push_back({m.get(), dispatch().RoomFor(*m, *job, m->Used(), now)});
     }
     std::map<std::string, int> in_zone = job->zone_count;
@@ -408,11 +415,11 @@
     if (chosen.size() != members.size()) continue;
     if (job->gang_attempt == 0) job->gang_attempt = occupancy().NextAttempt();
     for (size_t k = 0; k < members.size(); ++k) {
-      occupancy().Place(now, chosen[k], job, members[k], job->gang_attempt)->unsent = true;
+      occupancy().Place(now, chosen[k], job, members[k], job->gang_attempt)->start_unsent = true;
     }
     Release(job);
     asker()->Debug("gang " + job->spec.id + " placed on " + chosen[0]->id + " after " +
-                   std::to_string((now - job->arrived).ToMillis()) + " ms");
+                   std::to_string((now - job->submitted_at).ToMillis()) + " ms");
     return true;
   }
   return false;
--- a/src/core/leader/gangs.h
+++ b/src/core/leader/gangs.h
@@ -23,9 +23,9 @@
  private:
   bool Place(Micros now, Job* job);
   bool AwaitsClear(Micros now, const Job& job, const std::vector<int>& members) const;
-  bool MayStop(const Occupant& o, const Job& gang) const;
-  Micros LostBy(Micros now, const Occupant& o) const;
-  void Stop(Occupant* o);
+  bool MayStop(const Allocation& o, const Job& gang) const;
+  Micros LostBy(Micros now, const Allocation& o) const;
+  void Stop(Allocation* o);
   void MakeLimitRoom(Micros now, const Job& gang);
   std::optional<double> CostToClear(Micros now, const Machine& m, const Job& gang,
                                     bool after_gangs) const;
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -30,10 +30,10 @@
 
 void JobTable::OnJobEntry(Micros now, const Entry& e) {
   const std::string id = e.key.substr(keys::kJob.size());
-  if (e.erased) {
+  if (e.deleted) {
     EndJob(now, id);
   } else if (const auto* spec = std::get_if<JobSpec>(&e.value)) {
-    AddJob(now, *spec, e.stamp);
+    AddJob(now, *spec, e.version);
   }
 }
 
@@ -42,46 +42,47 @@
   auto job = std::make_unique<Job>();
   job->spec = spec;
   job->team = occupancy().TeamOf(spec.team);
-  job->stamp = stamp;
+  job->version = stamp;
   const int64_t today_ms = began_ms() + (now - began()).ToMillis();
-  job->arrived = now - Millis(std::clamp<int64_t>(today_ms - spec.submitted_ms, 0, 86400000));
-  job->moved_at = now;
+  job->submitted_at = now - Millis(std::clamp<int64_t>(today_ms - spec.submitted_ms, 0, 86400000));
+  job->progressed_at = now;
   for (const Objective& o : settings().objectives) {
-    if (o.lane != spec.lane) continue;
-    if (o.kind == "wait") job->start_by = job->arrived + o.within;
-    if (o.kind == "finished" && spec.shape == Shape::kArray) {
+    if (o.job_class != spec.job_class) continue;
+    if (o.kind == "wait") job->start_by = job->submitted_at + o.within;
+    if (o.kind == "finished" && spec.kind == JobKind::kArray) {
       // Estimates are often wrong by half; what can't be in time any more has no claim.
-      const Micros by = job->arrived + o.within;
-      job->last_starts.emplace_back(by - spec.estimate.Scaled(1.5) - Seconds(10),
-                                    by - spec.estimate.Scaled(0.8));
+      const Micros by = job->submitted_at + o.within;
+      job->objective_windows.emplace_back(by - spec.estimated_runtime.Scaled(1.5) - Seconds(10),
+                                          by - spec.estimated_runtime.Scaled(0.8));
     }
   }
   least_need_ = jobs_.empty() ? spec.need : Least(least_need_, spec.need);
   job->bucket = BucketOf(spec, options().bucket_width);
   job->tasks.resize(static_cast<size_t>(spec.tasks));
-  job->chunks.resize(static_cast<size_t>((spec.tasks + kChunkTasks - 1) / kChunkTasks));
-  if (!job->gang()) {
-    if (!job->service()) scaler().ArrayArrived(spec, job->arrived, now);
+  job->progress_pages.resize(static_cast<size_t>((spec.tasks + kChunkTasks - 1) / kChunkTasks));
+  if (!job->IsGang()) {
+    if (!job->IsService()) scaler().ArrayArrived(spec, job->submitted_at, now);
     for (int i = 0; i < spec.tasks; ++i) job->waiting.push_back(i);
   } else {
     scaler().NoteGang(spec, now);
-    scaler().GangArrived(spec, job->arrived);
+    scaler().GangArrived(spec, job->submitted_at);
   }
   if (!types().empty()) {
     Micros boot;
     for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
-    scaler().Arrived(spec, scaler().Allowance(spec, settings().objectives, 1.0) - spec.estimate,
-                     boot, job->arrived, now);
+    scaler().Arrived(spec,
+                     scaler().Allowance(spec, settings().objectives, 1.0) - spec.estimated_runtime,
+                     boot, job->submitted_at, now);
   }
-  job->called_off = called_off_.contains(spec.id);
+  job->cancel_pending = called_off_.contains(spec.id);
   jobs_[spec.id] = std::move(job);
-  asker()->Debug("job " + spec.id + " " + spec.lane + " tasks " + std::to_string(spec.tasks) +
-                 " estimate " + std::to_string(spec.estimate.ToSeconds()));
+  asker()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
+                 " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
 }
 
 void JobTable::CallOff(Micros now, const std::string& id) {
   called_off_[id] = now + kCalledOff;
-  if (Job* job = Find(id)) job->called_off = true;
+  if (Job* job = Find(id)) job->cancel_pending = true;
 }
 
 void JobTable::GoOn(Micros now) {
@@ -90,22 +91,22 @@
       ++it;
       continue;
     }
-    if (Job* job = Find(it->first)) job->called_off = false;
+    if (Job* job = Find(it->first)) job->cancel_pending = false;
     it = called_off_.erase(it);
   }
 }
 
 void JobTable::MarkPassedOver(Micros now) {
   for (auto& [id, job] : jobs_) {
-    job->passed_over = !job->gang() && now - job->moved_at > kPassedOver;
+    job->starved = !job->IsGang() && now - job->progressed_at > kPassedOver;
   }
 }
 
 void JobTable::CloseJob(Micros now, Job* job) {
   for (auto& [id, m] : machine_table().machines()) {
-    m->queue.erase(QueueKey{job->spec.rank, job->spec.estimate, job->spec.id});
+    m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
     occupancy().Disown(m.get(), job);
-    if (m->kept_for == job) m->kept_for = nullptr;
+    if (m->held_for == job) m->held_for = nullptr;
   }
   recorder().Over(now, *job);
 }
@@ -115,21 +116,21 @@
   if (it == jobs_.end()) return;
   Job* job = it->second.get();
   CloseJob(now, job);
-  if (job->gang()) gangs().Forget(job);
+  if (job->IsGang()) gangs().Forget(job);
   sharing().Forget(job);
   asker()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
   jobs_.erase(it);
   for (auto& [mid, m] : machine_table().machines()) {
     bool any = false;
-    for (auto o = m->occupants.begin(); o != m->occupants.end();) {
-      Occupant& occ = o->second;
-      if (occ.ref.job == id && occ.unsent) {
+    for (auto o = m->allocations.begin(); o != m->allocations.end();) {
+      Allocation& occ = o->second;
+      if (occ.ref.job == id && occ.start_unsent) {
         o = occupancy().Erase(m.get(), o);
         continue;
       }
       if (occ.ref.job == id && !occ.exited()) {
-        occ.halt = true;
-        occ.grace = {};
+        occ.stop_requested = true;
+        occ.grace_period = {};
         any = true;
       }
       ++o;
@@ -138,14 +139,14 @@
   }
 }
 
-JobDigest JobTable::Digest(const std::string& id) const {
+JobStatus JobTable::Digest(const std::string& id) const {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return {id, 0, 0};
   return {id, it->second->done, it->second->running};
 }
 
-std::vector<JobDigest> JobTable::Digests() const {
-  std::vector<JobDigest> out;
+std::vector<JobStatus> JobTable::Digests() const {
+  std::vector<JobStatus> out;
   for (const auto& [id, job] : jobs_) {
     if (out.size() >= 2000) break;
     if (job->done > 0 || job->running > 0) out.push_back({id, job->done, job->running});
@@ -159,17 +160,17 @@
     if (t.stage == TaskStage::kDone) return;
     t.stage = TaskStage::kDone;
     ++job->done;
-    job->moved_at = now;
+    job->progressed_at = now;
     recorder().Progressed(now, job, i);
   };
-  if (job->service()) return;
-  if (job->gang()) {
+  if (job->IsService()) return;
+  if (job->IsGang()) {
     // They complete together: one that is done speaks for all.
     for (int i = 0; i < job->spec.tasks; ++i) one(i);
   } else {
     one(task);
   }
-  if (job->left() == 0 && !job->finishing) {
+  if (job->remaining() == 0 && !job->finishing) {
     job->finishing = true;
     recorder().Finish(job->spec.id);
   }
@@ -180,8 +181,8 @@
   if (t.stage == TaskStage::kDone) return;
   t.stage = TaskStage::kWaiting;
   t.machine = nullptr;
-  if (job->gang()) {
-    job->not_before = std::max(job->not_before, now + pause);
+  if (job->IsGang()) {
+    job->backoff_until = std::max(job->backoff_until, now + pause);
   } else if (pause.count > 0) {
     job->delayed.emplace(now + pause, task);
   } else {
@@ -203,16 +204,16 @@
       if (job->team == team && !job->finishing) jobs.push_back(job.get());
     }
     std::stable_sort(jobs.begin(), jobs.end(),
-                     [](const Job* a, const Job* b) { return a->arrived < b->arrived; });
+                     [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
     for (Job* job : jobs) {
-      const bool whole = job->gang() || job->service();
-      const int64_t holds = std::min<int64_t>(room.Holds(job->spec.need), job->wanted());
-      job->within = static_cast<int>(whole && holds < job->left() ? 0 : holds);
-      room = room - job->spec.need.Times(job->within);
-      if (!job->guaranteed()) {
-        job->short_since = kNever;
-      } else if (job->short_since == kNever) {
-        job->short_since = now;
+      const bool whole = job->IsGang() || job->IsService();
+      const int64_t holds = std::min<int64_t>(room.Holds(job->spec.need), job->WantedTasks());
+      job->tasks_within_guarantee = static_cast<int>(whole && holds < job->remaining() ? 0 : holds);
+      room = room - job->spec.need.Times(job->tasks_within_guarantee);
+      if (!job->IsGuaranteed()) {
+        job->guarantee_short_since = kNever;
+      } else if (job->guarantee_short_since == kNever) {
+        job->guarantee_short_since = now;
       }
     }
   }
@@ -221,7 +222,7 @@
 void JobTable::NoteLeastNeed() {
   bool first = true;
   for (auto& [id, job] : jobs_) {
-    if (job->gang()) continue;
+    if (job->IsGang()) continue;
     least_need_ = std::exchange(first, false) ? job->spec.need : Least(least_need_, job->spec.need);
   }
 }
--- a/src/core/leader/job_table.h
+++ b/src/core/leader/job_table.h
@@ -38,8 +38,8 @@
   // No live array's task takes less, as of the last tick or arrival.
   const Resources& least_need() const { return least_need_; }
 
-  JobDigest Digest(const std::string& job) const;
-  std::vector<JobDigest> Digests() const;
+  JobStatus Digest(const std::string& job) const;
+  std::vector<JobStatus> Digests() const;
 
  private:
   void AddJob(Micros now, const JobSpec& spec, uint64_t stamp);
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -64,19 +64,19 @@
       },
       kNewsAtLeast);
   authority_ = std::make_unique<LeaderAuthority>(
-      context_.election, jobs_mirror_.get(), context_.settings->cancel_within,
-      context_.settings->worker_lease, context_.options->lease);
+      context_.election, jobs_mirror_.get(), context_.settings->cancel_deadline,
+      context_.settings->agent_lease, context_.options->lease);
   context_.authority = authority_.get();
 }
 
 Leader::~Leader() { *context_.alive = false; }
 
 void Leader::LoadPrefix(const std::string& prefix, const std::string& after) {
-  StateOp op;
-  op.kind = StateOp::Kind::kList;
+  StateRequest op;
+  op.kind = StateRequest::Kind::kList;
   op.key = prefix;
-  op.after = after;
-  context_.asker->State(op, [=, this, alive = context_.alive](Micros now, StateReply& r) {
+  op.start_after = after;
+  context_.asker->State(op, [=, this, alive = context_.alive](Micros now, StateResponse& r) {
     if (!*alive) return;
     // Not at once: in an outage that would use up the node's requests, and its users' with them.
     if (!r.ok()) return load_again_.push_back({now + kLoadPause, prefix, after});
@@ -84,7 +84,7 @@
       recorder_.Load(now, e);
       rights_.Load(e);
     }
-    if (r.more && !r.entries.empty()) return LoadPrefix(prefix, r.entries.back().key);
+    if (r.has_more && !r.entries.empty()) return LoadPrefix(prefix, r.entries.back().key);
     Loaded(now);
   });
 }
@@ -97,7 +97,7 @@
                        " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
                        std::to_string(machine_table_.machines().size()) + " machines on record");
   for (auto& [id, job] : job_table_.jobs()) {
-    if (job->left() == 0) recorder_.Finish(id);
+    if (job->remaining() == 0) recorder_.Finish(id);
   }
   AnswerEarly(now);
   Tick(now);  // which begins to ask the unresolved machines
@@ -105,28 +105,28 @@
 
 void Leader::AnswerEarly(Micros now) {
   for (EarlyReport& e : std::exchange(early_, {})) {
-    CheckinAnswer answer;
-    answer.token = e.token;
-    const Verdict verdict = Checkin(now, e.token, e.report, &answer.orders);
+    HeartbeatResponse answer;
+    answer.request_id = e.token;
+    const Verdict verdict = Checkin(now, e.token, e.report, &answer.commands);
     if (verdict == Verdict::kLater) continue;
     if (verdict == Verdict::kAnswer) {
       answer.status = 200;
       answer.fencing_token = context_.election->term();
-      answer.good_until = GoodUntil(answer.orders);
+      answer.valid_until = GoodUntil(answer.commands);
     }
-    context_.asker->out.checkins.push_back(std::move(answer));
+    context_.asker->out.heartbeat_responses.push_back(std::move(answer));
   }
 }
 
 void Leader::Dismiss() {
   for (const EarlyReport& e : std::exchange(early_, {})) {
-    context_.asker->out.checkins.push_back({e.token, 503, "", 0, {}});
+    context_.asker->out.heartbeat_responses.push_back({e.token, 503, "", 0, {}});
   }
   checkins_.Dismiss();
 }
 
-Leader::Verdict Leader::Checkin(Micros now, RequestId token, const Report& report,
-                                std::vector<Order>* orders) {
+Leader::Verdict Leader::Checkin(Micros now, RequestId token, const Heartbeat& report,
+                                std::vector<Command>* orders) {
   if (!ready_) {
     if (early_.size() >= kMostEarly) return Verdict::kCannot;
     early_.push_back({now, token, report});
@@ -146,7 +146,7 @@
   }
   for (const Load& load : due) LoadPrefix(load.prefix, load.after);
   while (!early_.empty() && now - early_.front().at > kEarlyPatience) {
-    context_.asker->out.checkins.push_back({early_.front().token, 503, "", 0, {}});
+    context_.asker->out.heartbeat_responses.push_back({early_.front().token, 503, "", 0, {}});
     early_.pop_front();
   }
   if (!ready_) return;
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -35,13 +35,14 @@
   // What to say to a report. kLater: the answer comes among the effects, by its token. Before the
   // records are read all answers wait: they would keep tasks alive of jobs that are cancelled.
   using Verdict = Checkins::Verdict;
-  Verdict Checkin(Micros now, RequestId token, const Report& report, std::vector<Order>* orders);
-  JobDigest Digest(const std::string& job) const { return job_table_.Digest(job); }
-  std::vector<JobDigest> Digests() const { return job_table_.Digests(); }
-  Micros GoodUntil(const std::vector<Order>& orders) const { return checkins_.GoodUntil(orders); }
+  Verdict Checkin(Micros now, RequestId token, const Heartbeat& report,
+                  std::vector<Command>* orders);
+  JobStatus Digest(const std::string& job) const { return job_table_.Digest(job); }
+  std::vector<JobStatus> Digests() const { return job_table_.Digests(); }
+  Micros GoodUntil(const std::vector<Command>& orders) const { return checkins_.GoodUntil(orders); }
   // The term is over: whoever still waits for an answer is to look elsewhere.
   void Dismiss();
-  void OnCell(Micros now, const limits::CellNote& note) { rights_.OnNote(now, note); }
+  void OnCell(Micros now, const limits::CellMessage& note) { rights_.OnNote(now, note); }
   void CallOff(Micros now, const std::string& job) { job_table_.CallOff(now, job); }
   // It is recorded: halts leave at once, though this leader may be the one that can't read it.
   void CalledOff(Micros now, const std::string& job) {
@@ -78,7 +79,7 @@
   struct EarlyReport {
     Micros at;
     RequestId token = 0;
-    Report report;
+    Heartbeat report;
   };
   std::deque<EarlyReport> early_;  // came before the records were read
   Autoscaler scaler_;
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -22,24 +22,24 @@
 
 void MachineTable::Load(Micros now, const MachineRecord& r) {
   Machine* m = Adopt(now, r.id, r.endpoint, r.type, r.zone, r.spot);
-  if (!m->resolved) return;
+  if (!m->reconciled) return;
   // An earlier leader may have sent it anything, and may have kept its lease alive for as long as
   // a leader may without the state service.
-  m->recorded = true;
-  m->resolved = false;
+  m->durable = true;
+  m->reconciled = false;
   m->stage = MachineStage::kUp;
-  m->heard_at = m->reported_at = now;
-  m->alive_until = now + (settings().cancel_within - settings().worker_lease) +
-                   settings().worker_lease.Scaled(1 + kClockDrift);
+  m->last_contact_at = m->last_heartbeat_at = now;
+  m->agent_lease_until = now + (settings().cancel_deadline - settings().agent_lease) +
+                         settings().agent_lease.Scaled(1 + kClockDrift);
   unresolved_.push_back(m);
   occupancy().Review(m);
 }
 
 bool MachineTable::Held(const Job& job) const {
-  if (job.called_off) return true;
+  if (job.cancel_pending) return true;
   // A job recorded after this term began can't have been started by an earlier leader: that one
   // starts nothing past its lease, which ended before.
-  if (unresolved_.empty() || job.stamp > election()->term_stamp()) return false;
+  if (unresolved_.empty() || job.version > election()->term_stamp()) return false;
   for (const Machine* m : unresolved_) {
     if (!m->type || Allows(job.spec, *m->type, m->zone, m->spot)) return true;
   }
@@ -61,7 +61,7 @@
   m->zone = zone;
   m->spot = spot;
   m->rented_at = now;
-  m->work.assign(kBuckets, 0.0);
+  m->dispatched_work.assign(kBuckets, 0.0);
   auto it = types().find(type);
   if (it != types().end()) m->type = &it->second;
   return (machines_[id] = std::move(m)).get();
@@ -69,14 +69,15 @@
 
 bool MachineTable::Ready(const Machine& m, Micros now) const {
   // What answers direct calls and reports to nobody can be told to stop, not to start.
-  return m.stage == MachineStage::kUp && m.type && m.resolved && !m.retiring && !m.gone_at &&
-         now - m.reported_at < options().silent_probe + settings().report_every &&
-         now >= m.hold_off;
+  return m.stage == MachineStage::kUp && m.type && m.reconciled && !m.draining &&
+         !m.preemption_at &&
+         now - m.last_heartbeat_at < options().silent_probe + settings().heartbeat_interval &&
+         now >= m.start_backoff_until;
 }
 
 void MachineTable::Resolve(Micros now, Machine* m) {
-  if (m->resolved) return;
-  m->resolved = true;
+  if (m->reconciled) return;
+  m->reconciled = true;
   occupancy().Review(m);
   unresolved_.erase(std::remove(unresolved_.begin(), unresolved_.end(), m), unresolved_.end());
   asker()->Debug("machine " + m->id + " resolved");
@@ -87,7 +88,7 @@
 }
 
 // Proved not to be on the machine any more, and not to come there.
-void MachineTable::Gone(Micros now, Machine* m, Occupant* o) {
+void MachineTable::Gone(Micros now, Machine* m, Allocation* o) {
   Job* job = o->job;
   if (!job || o->exited()) return;
   const TaskState& t = job->tasks[static_cast<size_t>(o->ref.task)];
@@ -97,7 +98,7 @@
 }
 
 void MachineTable::DropAll(Micros now, Machine* m) {
-  for (auto& [key, o] : m->occupants) Gone(now, m, &o);
+  for (auto& [key, o] : m->allocations) Gone(now, m, &o);
   occupancy().Clear(m);
 }
 
@@ -108,8 +109,8 @@
   Resolve(now, m);
   dispatch().Unbind(m);
   DropAll(now, m);
-  for (RequestId token : m->held_checkins) {
-    asker()->out.checkins.push_back({token, 503, "", 0, {}});
+  for (RequestId token : m->pending_heartbeats) {
+    asker()->out.heartbeat_responses.push_back({token, 503, "", 0, {}});
   }
   recorder().Left(now, id);
   tombstones_[id] = now;
@@ -117,7 +118,7 @@
 }
 
 void MachineTable::GiveBack(Micros now, Machine* m, const std::string& why) {
-  if (m->stage == MachineStage::kReturning) return;
+  if (m->stage == MachineStage::kTerminating) return;
   // Past the lease it may be another leader's, with its work on it. What speaks against it is seen
   // again once the lease is confirmed.
   if (!election()->MayStart(now)) return;
@@ -125,68 +126,70 @@
                 "): " + why + ", held " +
                 std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) + " s");
   dispatch().Unbind(m);
-  m->stage = MachineStage::kReturning;
+  m->stage = MachineStage::kTerminating;
   provisioner().Return(m->id);
 }
 
 void MachineTable::HaltNow(Micros now, Machine* m) {
-  if (m->endpoint.empty() || m->session == 0) return;
+  if (m->endpoint.empty() || m->agent_epoch == 0) return;
   (void)now;
-  DirectOp op;
+  CommandRequest op;
   op.machine = m->id;
   op.endpoint = m->endpoint;
   op.fencing_token = election()->term();
-  op.session = m->session;
-  for (auto& [key, o] : m->occupants) {
-    if (o.halt && !o.exited() && !o.unsent) {
-      op.orders.push_back({Order::Verb::kHalt, o.ref, o.attempt, o.grace});
+  op.agent_epoch = m->agent_epoch;
+  for (auto& [key, o] : m->allocations) {
+    if (o.stop_requested && !o.exited() && !o.start_unsent) {
+      op.commands.push_back({Command::Verb::kStop, o.ref, o.attempt, o.grace_period});
     }
   }
-  if (op.orders.empty()) return;
-  asker()->Direct(op, Guarded([this, id = m->id](Micros t, DirectReply& r) {
+  if (op.commands.empty()) return;
+  asker()->Direct(op, Guarded([this, id = m->id](Micros t, CommandResponse& r) {
                     Machine* machine = Find(id);
-                    if (machine && r.report && r.status == 200)
-                      Absorb(t, machine, *r.report, false);
+                    if (machine && r.heartbeat && r.status == 200)
+                      Absorb(t, machine, *r.heartbeat, false);
                   }));
 }
 
 // Raises the fencing token at a machine and learns what is on it.
 void MachineTable::Probe(Micros now, Machine* m) {
-  if (m->probing || m->endpoint.empty()) return;
-  m->probing = true;
-  if (m->asked_at.count < 0) m->asked_at = now;
+  if (m->probe_in_flight || m->endpoint.empty()) return;
+  m->probe_in_flight = true;
+  if (m->first_probed_at.count < 0) m->first_probed_at = now;
   m->probe_at = now + Seconds(1);
-  DirectOp op;
+  CommandRequest op;
   op.machine = m->id;
   op.endpoint = m->endpoint;
   op.fencing_token = election()->term();
-  op.session = std::max<uint64_t>(m->session, 1);
-  asker()->Direct(op, Guarded([this, id = m->id, asked = op.session](Micros t, DirectReply& r) {
-                    Machine* machine = Find(id);
-                    if (!machine) return;
-                    machine->probing = false;
-                    if (!r.report || r.report->machine != id) return;
-                    if (r.report->fencing_token > election()->term()) {
-                      return election()->StepDown(
-                          t, "machine " + id + " has seen a higher fencing token");
-                    }
-                    const bool known_session = r.report->session == asked;
-                    if (r.status == 200 || !known_session) Absorb(t, machine, *r.report, false);
-                    if (r.status == 200) {
-                      Resolve(t, machine);
-                    } else if (!known_session && !machine->resolved) {
-                      Probe(t, machine);  // the session is known now
-                    }
-                  }));
+  op.agent_epoch = std::max<uint64_t>(m->agent_epoch, 1);
+  asker()->Direct(
+      op, Guarded([this, id = m->id, asked = op.agent_epoch](Micros t, CommandResponse& r) {
+        Machine* machine = Find(id);
+        if (!machine) return;
+        machine->probe_in_flight = false;
+        if (!r.heartbeat || r.heartbeat->machine != id) return;
+        if (r.heartbeat->fencing_token > election()->term()) {
+          return election()->StepDown(t, "machine " + id + " has seen a higher fencing token");
+        }
+        const bool known_session = r.heartbeat->agent_epoch == asked;
+        if (r.status == 200 || !known_session) Absorb(t, machine, *r.heartbeat, false);
+        if (r.status == 200) {
+          Resolve(t, machine);
+        } else if (!known_session && !machine->reconciled) {
+          Probe(t, machine);  // the session is known now
+        }
+      }));
 }
 
 // Takes in what a report says. False: it is older than what is known.
-bool MachineTable::Absorb(Micros now, Machine* m, const Report& r, bool checkin) {
-  if (r.session < m->session || (r.session == m->session && r.seq <= m->seq)) return false;
-  if (r.session > m->session && m->session != 0) {
+bool MachineTable::Absorb(Micros now, Machine* m, const Heartbeat& r, bool checkin) {
+  if (r.agent_epoch < m->agent_epoch ||
+      (r.agent_epoch == m->agent_epoch && r.sequence <= m->sequence))
+    return false;
+  if (r.agent_epoch > m->agent_epoch && m->agent_epoch != 0) {
     // The lease ran out over there: all of that session is gone, and its starts with it.
-    for (auto it = m->occupants.begin(); it != m->occupants.end();) {
-      if (!it->second.unsent) {
+    for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+      if (!it->second.start_unsent) {
         Gone(now, m, &it->second);
         it = occupancy().Erase(m, it);
       } else {
@@ -195,11 +198,11 @@
     }
     m->images.clear();
   }
-  if (r.session != m->session) m->checkin_seq = 0;
-  m->session = r.session;
-  m->seq = r.seq;
-  m->heard_at = now;
-  if (checkin) m->reported_at = last_reported_ = now;
+  if (r.agent_epoch != m->agent_epoch) m->heartbeat_sequence = 0;
+  m->agent_epoch = r.agent_epoch;
+  m->sequence = r.sequence;
+  m->last_contact_at = now;
+  if (checkin) m->last_heartbeat_at = last_reported_ = now;
   if (m->endpoint.empty()) m->endpoint = r.endpoint;
   if (m->type_name.empty()) {
     m->type_name = r.type;
@@ -217,71 +220,72 @@
                   std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) +
                   " s after its request");
   }
-  if (r.notice && !m->gone_at) {
-    m->gone_at = now + *r.notice;
+  if (r.preemption_notice && !m->preemption_at) {
+    m->preemption_at = now + *r.preemption_notice;
     dispatch().Unbind(m);
     asker()->Info("machine " + m->id + " will be taken in " +
-                  std::to_string(r.notice->ToSeconds()) + " s");
+                  std::to_string(r.preemption_notice->ToSeconds()) + " s");
   }
   std::set<std::pair<TaskRef, uint64_t>> listed;
-  for (const ReportedTask& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     const auto key = std::make_pair(t.ref, t.attempt);
     listed.insert(key);
     auto jt = job_table().jobs().find(t.ref.job);
     Job* job = jt == job_table().jobs().end() ? nullptr : jt->second.get();
     if (job && (t.ref.task < 0 || t.ref.task >= job->spec.tasks)) job = nullptr;
-    auto it = m->occupants.find(key);
-    if (it == m->occupants.end()) {
+    auto it = m->allocations.find(key);
+    if (it == m->allocations.end()) {
       occupancy().Enter(m, t.ref, t.attempt, job);
-      it = m->occupants.find(key);
-      Occupant& o = it->second;
+      it = m->allocations.find(key);
+      Allocation& o = it->second;
       if (job) {
         TaskState& state = job->tasks[static_cast<size_t>(t.ref.task)];
         const bool elsewhere = state.stage == TaskStage::kPlaced && state.machine != nullptr;
-        if (t.state != RunState::kExited) {
+        if (t.phase != TaskPhase::kExited) {
           if (state.stage == TaskStage::kDone || elsewhere) {
-            o.halt = true;  // nobody needs this one
+            o.stop_requested = true;  // nobody needs this one
           } else {
             if (state.stage == TaskStage::kQueued) --job->queued;
             state.stage = TaskStage::kPlaced;
             state.machine = m;
             state.attempt = t.attempt;
             state.bound_at = now;
-            if (job->gang()) job->gang_attempt = t.attempt;
-            m->NoteImage(job->spec.image);
+            if (job->IsGang()) job->gang_attempt = t.attempt;
+            m->RecordImageUse(job->spec.image);
           }
         }
       } else {
-        o.halt = true;
+        o.stop_requested = true;
       }
     }
-    Occupant& o = it->second;
-    o.seen = true;
-    o.unsent = false;
+    Allocation& o = it->second;
+    o.reported = true;
+    o.start_unsent = false;
     if (o.exited()) continue;
-    if (t.state == RunState::kExited) {
-      Exited(now, m, &o, t.cause);
+    if (t.phase == TaskPhase::kExited) {
+      Exited(now, m, &o, t.exit_reason);
       continue;
     }
     if (o.job) {
-      if (o.job->gang() && (t.state == RunState::kRunning || t.state == RunState::kFlushing)) {
-        if (!o.job->gang_ran) {
+      if (o.job->IsGang() &&
+          (t.phase == TaskPhase::kRunning || t.phase == TaskPhase::kCheckpointing)) {
+        if (!o.job->gang_attempt_ran) {
           asker()->Debug("gang " + o.job->spec.id + " runs after " +
-                         std::to_string((now - o.job->arrived).ToMillis()) + " ms");
+                         std::to_string((now - o.job->submitted_at).ToMillis()) + " ms");
         }
-        if (!std::exchange(o.job->gang_ran, true)) o.job->moved_at = now;
-        o.job->began = true;
+        if (!std::exchange(o.job->gang_attempt_ran, true)) o.job->progressed_at = now;
+        o.job->has_run = true;
       }
     }
-    occupancy().Became(&o, t.state);
+    occupancy().Became(&o, t.phase);
   }
-  for (auto it = m->occupants.begin(); it != m->occupants.end();) {
-    Occupant& o = it->second;
+  for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+    Allocation& o = it->second;
     // A start that its check-in's successor doesn't list was not executed and never will be: the
     // worker has one report in flight and drops late answers. A direct call's report proves
     // nothing about a start that may still be on its way.
-    const bool gone =
-        !o.unsent && !listed.count(it->first) && (o.seen || (checkin && r.seq > o.sent_seq));
+    const bool gone = !o.start_unsent && !listed.count(it->first) &&
+                      (o.reported || (checkin && r.sequence > o.sent_sequence));
     if (!gone) {
       ++it;
       continue;
@@ -289,8 +293,8 @@
     Gone(now, m, &o);
     it = occupancy().Erase(m, it);
   }
-  if (m->GangUse().cpu > 0) m->gang_at = now;
-  const bool idle = m->occupants.empty() && m->queue.empty();
+  if (m->GangUse().cpu > 0) m->last_gang_at = now;
+  const bool idle = m->allocations.empty() && m->queue.empty();
   if (!idle) {
     m->idle_since = {-1};
   } else if (m->idle_since.count < 0) {
@@ -299,30 +303,30 @@
   return true;
 }
 
-void MachineTable::Exited(Micros now, Machine* m, Occupant* o, ExitCause cause) {
+void MachineTable::Exited(Micros now, Machine* m, Allocation* o, ExitReason cause) {
   occupancy().Exited(m, o, cause);
   Job* job = o->job;
   if (!job) return;
   TaskState& t = job->tasks[static_cast<size_t>(o->ref.task)];
   const bool current = t.stage == TaskStage::kPlaced && t.machine == m && t.attempt == o->attempt;
-  if (cause == ExitCause::kDone) {
+  if (cause == ExitReason::kDone) {
     blame().Done(now, m, job);
     job_table().MarkDone(now, job, o->ref.task);
-    if (job->service() && current) job_table().TaskBack(now, job, o->ref.task, Seconds(1));
+    if (job->IsService() && current) job_table().TaskBack(now, job, o->ref.task, Seconds(1));
     return;
   }
   Micros pause;
-  if (cause == ExitCause::kError) {
+  if (cause == ExitReason::kError) {
     asker()->Debug("task " + o->ref.job + "/" + std::to_string(o->ref.task) + " failed on " +
                    m->id);
     const Blame::Verdict verdict = blame().Failed(now, m, job, o->ref.task);
     pause = verdict.pause;
     if (verdict.machine_at_fault) GiveBack(now, m, "its tasks fail");
-  } else if (cause == ExitCause::kFull) {
-    m->hold_off = now + Seconds(2);
-  } else if (cause == ExitCause::kUnknown) {
+  } else if (cause == ExitReason::kInsufficientResources) {
+    m->start_backoff_until = now + Seconds(2);
+  } else if (cause == ExitReason::kUnknownTask) {
     pause = Seconds(3);
-  } else if (cause == ExitCause::kBusy) {
+  } else if (cause == ExitReason::kDuplicateTask) {
     pause = Seconds(1);
   }
   if (current) job_table().TaskBack(now, job, o->ref.task, pause);
@@ -332,7 +336,7 @@
   if (up_ == 0 || last_reported_.count < 0 || now < patient_until_) return false;
   constexpr int kSurely = 8;  // reports that should have come in meanwhile
   return now - last_reported_ >
-         std::max(Seconds(4), settings().report_every.Scaled(1.0 * kSurely / up_));
+         std::max(Seconds(4), settings().heartbeat_interval.Scaled(1.0 * kSurely / up_));
 }
 
 // Those that may hold gangs first: what waits for them is what hurts most, and there are few.
@@ -345,7 +349,8 @@
   });
   for (Machine* m : order) {
     if (probes >= kProbesATick) break;
-    if (m->stage != MachineStage::kUp || now < m->probe_at || m->probing || m->endpoint.empty()) {
+    if (m->stage != MachineStage::kUp || now < m->probe_at || m->probe_in_flight ||
+        m->endpoint.empty()) {
       continue;
     }
     ++probes;
@@ -356,7 +361,7 @@
 
 // Workers that got no answer for 4 s have gone to other controllers and are sent back from there.
 void MachineTable::Awoke(Micros now) {
-  patient_until_ = now + settings().report_every.Scaled(1.25) + Seconds(6);
+  patient_until_ = now + settings().heartbeat_interval.Scaled(1.25) + Seconds(6);
   for (auto& [id, m] : machines_) m->missing_since = {-1};
 }
 
@@ -377,25 +382,25 @@
     }
     if (m->stage != MachineStage::kUp) continue;
     ++up;
-    heard += now - m->heard_at < options().silent_probe;
-    reported += now - m->reported_at < options().silent_probe + settings().report_every;
+    heard += now - m->last_contact_at < options().silent_probe;
+    reported += now - m->last_heartbeat_at < options().silent_probe + settings().heartbeat_interval;
   }
   up_ = up;
   int probes = AskUnresolved(now);
   // Where most are silent the fault is likely ours, and returning them would lose everything.
   const bool ours = heard * 2 < up;
   // Two leases and more: whatever it held has ended, and it can be given nothing.
-  const Micros mute = options().silent_return + settings().worker_lease.Scaled(2);
+  const Micros mute = options().silent_return + settings().agent_lease.Scaled(2);
   for (auto& [id, ptr] : machines_) {
     Machine* m = ptr.get();
-    if (!m->held_checkins.empty() && now - m->held_since > Millis(1500))
+    if (!m->pending_heartbeats.empty() && now - m->heartbeats_pending_since > Millis(1500))
       checkins().AnswerHeld(now, m);
-    if (holds && m->alive_until.count > 0 && now > m->alive_until &&
-        (!m->occupants.empty() || !m->resolved)) {
+    if (holds && m->agent_lease_until.count > 0 && now > m->agent_lease_until &&
+        (!m->allocations.empty() || !m->reconciled)) {
       asker()->Info("the lease of " + id + " has run out");
       DropAll(now, m);
       Resolve(now, m);
-      m->greeted_at = {-1};
+      m->first_answered_at = {-1};
     }
     if (m->stage == MachineStage::kBooting) {
       const Micros patience =
@@ -404,53 +409,56 @@
       continue;
     }
     if (m->stage != MachineStage::kUp) continue;
-    const Micros silent = now - m->heard_at;
-    if ((!m->resolved || silent > options().silent_probe) && now >= m->probe_at &&
-        probes < kProbesATick && !m->probing && !m->endpoint.empty()) {
+    const Micros silent = now - m->last_contact_at;
+    if ((!m->reconciled || silent > options().silent_probe) && now >= m->probe_at &&
+        probes < kProbesATick && !m->probe_in_flight && !m->endpoint.empty()) {
       ++probes;
       Probe(now, m);
     }
     // One that has just been told the term is about to report under it; one that was told a while
     // ago and has not does not hear.
     const bool was_heard =
-        m->seq > 0 || (m->greeted_at.count >= 0 &&
-                       now - m->greeted_at < settings().report_every.Scaled(1.25) + Seconds(1));
+        m->sequence > 0 ||
+        (m->first_answered_at.count >= 0 &&
+         now - m->first_answered_at < settings().heartbeat_interval.Scaled(1.25) + Seconds(1));
     // After a takeover one machine that can't be asked holds back all that it might have been
     // given. Where the others have answered it is given up: the cloud's word resolves it too.
     const bool few = unresolved_.size() * 10 <= static_cast<size_t>(up);
     const bool hardly_any = unresolved_.size() * 50 <= static_cast<size_t>(up);
-    const bool asked = m->asked_at.count >= 0 && now - m->asked_at > options().resolve_soon;
-    if (may_give_up && !m->resolved && !was_heard &&
+    const bool asked =
+        m->first_probed_at.count >= 0 && now - m->first_probed_at > options().resolve_soon;
+    if (may_give_up && !m->reconciled && !was_heard &&
         ((few && now - began() > options().resolve_wait) || (hardly_any && asked))) {
       GiveBack(now, m, "does not answer the new term");
       continue;
     }
     // Where the fault is ours a machine is given back only when its lease has long run out.
-    if (may_give_up && silent > options().silent_return +
-                                    (ours ? settings().worker_lease : settings().report_every)) {
+    if (may_give_up && silent > options().silent_return + (ours ? settings().agent_lease
+                                                                : settings().heartbeat_interval)) {
       GiveBack(now, m, was_heard ? "silent" : "never heard in this term");
       continue;
     }
-    if (may_give_up && reported * 2 >= up && now - m->reported_at > mute) {
+    if (may_give_up && reported * 2 >= up && now - m->last_heartbeat_at > mute) {
       GiveBack(now, m, "answers, but reports to nobody");
       continue;
     }
-    if (m->gone_at) {
+    if (m->preemption_at) {
       std::map<std::string, Job*> saved_whole;  // by id
       bool halts = false;
-      for (auto& [key, o] : m->occupants) {
-        if (o.halt || o.exited() || !o.job || o.job->spec.checkpoint_every.count == 0) continue;
-        const Micros save = o.job->spec.save_time;
-        if (*m->gone_at - now > save + Seconds(3)) continue;
-        if (o.job->gang()) {
+      for (auto& [key, o] : m->allocations) {
+        if (o.stop_requested || o.exited() || !o.job || o.job->spec.checkpoint_interval.count == 0)
+          continue;
+        const Micros save = o.job->spec.checkpoint_duration;
+        if (*m->preemption_at - now > save + Seconds(3)) continue;
+        if (o.job->IsGang()) {
           saved_whole[o.job->spec.id] = o.job;
         } else {
-          o.halt = halts = true;
-          o.grace = save;
+          o.stop_requested = halts = true;
+          o.grace_period = save;
         }
       }
       if (halts) HaltNow(now, m);
-      for (auto& [job_id, job] : saved_whole) gangs().Halt(now, job, job->spec.save_time);
+      for (auto& [job_id, job] : saved_whole) gangs().Halt(now, job, job->spec.checkpoint_duration);
     }
   }
   for (auto it = tombstones_.begin(); it != tombstones_.end();) {
--- a/src/core/leader/machine_table.h
+++ b/src/core/leader/machine_table.h
@@ -25,7 +25,7 @@
   // From the durable record: an earlier leader may have sent it anything.
   void Load(Micros now, const MachineRecord& r);
   // Takes in what a report says. False: it is older than what is known.
-  bool Absorb(Micros now, Machine* m, const Report& r, bool checkin);
+  bool Absorb(Micros now, Machine* m, const Heartbeat& r, bool checkin);
   void Resolve(Micros now, Machine* m);
   void HaltNow(Micros now, Machine* m);
   void GiveBack(Micros now, Machine* m, const std::string& why);
@@ -46,9 +46,9 @@
   bool RisesAgain(Micros now, const std::string& id);
 
  private:
-  void Gone(Micros now, Machine* m, Occupant* o);
+  void Gone(Micros now, Machine* m, Allocation* o);
   void DropAll(Micros now, Machine* m);
-  void Exited(Micros now, Machine* m, Occupant* o, ExitCause cause);
+  void Exited(Micros now, Machine* m, Allocation* o, ExitReason cause);
   void Probe(Micros now, Machine* m);
   int AskUnresolved(Micros now);
 
--- a/src/core/leader/occupancy.cpp
+++ b/src/core/leader/occupancy.cpp
@@ -22,29 +22,29 @@
   return -1;
 }
 
-Occupant* Occupancy::Place(Micros now, Machine* m, Job* job, int task, uint64_t attempt) {
+Allocation* Occupancy::Place(Micros now, Machine* m, Job* job, int task, uint64_t attempt) {
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   t.stage = TaskStage::kPlaced;
   t.machine = m;
   t.bound_at = now;
   t.attempt = attempt;
-  if (!job->gang()) job->moved_at = now;
-  Occupant* o = Enter(m, {job->spec.id, task}, attempt, job);
-  o->sent_session = m->session;
-  o->sent_seq = m->seq;
-  m->NoteImage(job->spec.image);
+  if (!job->IsGang()) job->progressed_at = now;
+  Allocation* o = Enter(m, {job->spec.id, task}, attempt, job);
+  o->sent_epoch = m->agent_epoch;
+  o->sent_sequence = m->sequence;
+  m->RecordImageUse(job->spec.image);
   m->idle_since = {-1};
-  if (job->gang()) m->gang_at = now;
+  if (job->IsGang()) m->last_gang_at = now;
   return o;
 }
 
-Occupant* Occupancy::Enter(Machine* m, const TaskRef& ref, uint64_t attempt, Job* job) {
-  auto [it, fresh] = m->occupants.try_emplace({ref, attempt});
+Allocation* Occupancy::Enter(Machine* m, const TaskRef& ref, uint64_t attempt, Job* job) {
+  auto [it, fresh] = m->allocations.try_emplace({ref, attempt});
   if (!fresh) {
     Uncount(m, &it->second);
-    it->second = Occupant{};
+    it->second = Allocation{};
   }
-  Occupant& o = it->second;
+  Allocation& o = it->second;
   o.ref = ref;
   o.attempt = attempt;
   o.job = job;
@@ -54,74 +54,76 @@
     ++job->placed;
     ++job->zone_count[m->zone];
   }
-  if (job && !job->gang() && !job->service()) {
-    o.soft = static_cast<int>(job->spec.rank);
+  if (job && !job->IsGang() && !job->IsService()) {
+    o.preemptible_priority = static_cast<int>(job->spec.priority);
   }
   Count(m, &o);
   return &o;
 }
 
-void Occupancy::Count(Machine* m, Occupant* o) {
+void Occupancy::Count(Machine* m, Allocation* o) {
   o->counted = true;
   m->used = m->used + o->need;
   TeamCount& team = teams_[static_cast<size_t>(o->team + 1)];
   team.used = team.used + o->need;
-  if (o->soft >= 0) team.soft[Index(o->soft)] = team.soft[Index(o->soft)] + o->need;
-  m->unknown += o->team < 0;
+  if (o->preemptible_priority >= 0)
+    team.soft[Index(o->preemptible_priority)] = team.soft[Index(o->preemptible_priority)] + o->need;
+  m->unknown_tasks += o->team < 0;
   Review(m);
 }
 
-void Occupancy::Uncount(Machine* m, Occupant* o) {
+void Occupancy::Uncount(Machine* m, Allocation* o) {
   if (!std::exchange(o->counted, false)) return;
   m->used = m->used - o->need;
   TeamCount& team = teams_[static_cast<size_t>(o->team + 1)];
   team.used = team.used - o->need;
-  if (o->soft >= 0) team.soft[Index(o->soft)] = team.soft[Index(o->soft)] - o->need;
-  m->unknown -= o->team < 0;
+  if (o->preemptible_priority >= 0)
+    team.soft[Index(o->preemptible_priority)] = team.soft[Index(o->preemptible_priority)] - o->need;
+  m->unknown_tasks -= o->team < 0;
   Review(m);
 }
 
 void Occupancy::Review(Machine* m) {
-  const bool murky = !m->resolved || m->unknown > 0;
+  const bool murky = !m->reconciled || m->unknown_tasks > 0;
   const Resources now = murky && m->type ? m->type->size - m->used : Resources{};
-  doubt_ = doubt_ - m->doubt + now;
-  m->doubt = now;
-  unbounded_ += static_cast<int>(murky && !m->type) - static_cast<int>(m->doubt_unbounded);
-  m->doubt_unbounded = murky && !m->type;
+  doubt_ = doubt_ - m->uncertain_use + now;
+  m->uncertain_use = now;
+  unbounded_ += static_cast<int>(murky && !m->type) - static_cast<int>(m->uncertain_use_unbounded);
+  m->uncertain_use_unbounded = murky && !m->type;
 }
 
-void Occupancy::Vacate(Occupant* o, const Machine& m) {
+void Occupancy::Vacate(Allocation* o, const Machine& m) {
   if (!o->job || o->exited()) return;
   --o->job->placed;
   --o->job->zone_count[m.zone];
-  if (o->state == RunState::kRunning) --o->job->running;
+  if (o->phase == TaskPhase::kRunning) --o->job->running;
 }
 
-void Occupancy::Became(Occupant* o, RunState state) {
-  if (o->job && state == RunState::kRunning && o->state != RunState::kRunning) ++o->job->running;
-  if (o->job && state != RunState::kRunning && o->state == RunState::kRunning) --o->job->running;
-  o->state = state;
+void Occupancy::Became(Allocation* o, TaskPhase state) {
+  if (o->job && state == TaskPhase::kRunning && o->phase != TaskPhase::kRunning) ++o->job->running;
+  if (o->job && state != TaskPhase::kRunning && o->phase == TaskPhase::kRunning) --o->job->running;
+  o->phase = state;
 }
 
-void Occupancy::Exited(Machine* m, Occupant* o, ExitCause cause) {
+void Occupancy::Exited(Machine* m, Allocation* o, ExitReason cause) {
   Vacate(o, *m);
   Uncount(m, o);
-  o->state = RunState::kExited;
-  o->cause = cause;
+  o->phase = TaskPhase::kExited;
+  o->exit_reason = cause;
 }
 
 Occupancy::Occupants::iterator Occupancy::Erase(Machine* m, Occupants::iterator it) {
   Vacate(&it->second, *m);
   Uncount(m, &it->second);
-  return m->occupants.erase(it);
+  return m->allocations.erase(it);
 }
 
 void Occupancy::Clear(Machine* m) {
-  for (auto it = m->occupants.begin(); it != m->occupants.end();) it = Erase(m, it);
+  for (auto it = m->allocations.begin(); it != m->allocations.end();) it = Erase(m, it);
 }
 
 void Occupancy::Disown(Machine* m, const Job* job) {
-  for (auto& [key, o] : m->occupants) {
+  for (auto& [key, o] : m->allocations) {
     if (o.job == job) o.job = nullptr;
   }
 }
@@ -134,12 +136,12 @@
 Resources Occupancy::After(const Job& job, int more) const {
   const TeamCount& t = teams_[static_cast<size_t>(job.team + 1)];
   Resources use = t.used + doubt_ + job.spec.need.Times(more);
-  for (int rank = 0; rank <= static_cast<int>(job.spec.rank); ++rank) {
+  for (int rank = 0; rank <= static_cast<int>(job.spec.priority); ++rank) {
     // What a gang of higher rank can't use yet does not lie idle for ever: it is given to work that
     // was passed over for long, which makes way when the gang can start.
-    if (job.passed_over && rank < static_cast<int>(job.spec.rank)) continue;
+    if (job.starved && rank < static_cast<int>(job.spec.priority)) continue;
     // Of gangs of its own rank an array lets one go first, or gangs without end would starve it.
-    const bool all = job.gang() || rank < static_cast<int>(job.spec.rank);
+    const bool all = job.IsGang() || rank < static_cast<int>(job.spec.priority);
     use = use + (all ? t.claims : t.first)[Index(rank)];
   }
   return use;
@@ -164,14 +166,14 @@
   if (!Limited(job.team)) return true;
   Resources soft;
   const TeamCount& t = teams_[static_cast<size_t>(job.team + 1)];
-  for (int rank = static_cast<int>(job.spec.rank) + 1; rank < 4; ++rank) {
+  for (int rank = static_cast<int>(job.spec.priority) + 1; rank < 4; ++rank) {
     soft = soft + t.soft[Index(rank)];
   }
   const Resources missing = LimitShort(job, more);
   return unbounded_ == 0 && missing.cpu <= soft.cpu && missing.gpu <= soft.gpu;
 }
 
-int64_t Occupancy::FirmRoom(int team, Rank rank) const {
+int64_t Occupancy::FirmRoom(int team, Priority rank) const {
   if (!Limited(team) || Limit(team).cpu >= limits::kUnlimited) return INT64_MAX;
   const TeamCount& t = teams_[static_cast<size_t>(team + 1)];
   int64_t firm = t.used.cpu;
@@ -182,7 +184,7 @@
 void Occupancy::Claim(const Job& gang, int members) {
   if (!Limited(gang.team)) return;
   TeamCount& t = teams_[static_cast<size_t>(gang.team + 1)];
-  const auto rank = static_cast<size_t>(gang.spec.rank);
+  const auto rank = static_cast<size_t>(gang.spec.priority);
   const Resources need = gang.spec.need.Times(members);
   if (t.claims[rank] == Resources{}) t.first[rank] = need;
   t.claims[rank] = t.claims[rank] + need;
@@ -230,21 +232,23 @@
   for (const auto& [id, m] : machine_table().machines()) {
     Resources here;
     int unknown = 0;
-    for (const auto& [key, o] : m->occupants) {
+    for (const auto& [key, o] : m->allocations) {
       if (o.exited()) continue;
       here = here + o.need;
       unknown += o.team < 0;
       TeamCount& team = teams[static_cast<size_t>(o.team + 1)];
       team.used = team.used + o.need;
-      if (o.soft >= 0) team.soft[Index(o.soft)] = team.soft[Index(o.soft)] + o.need;
+      if (o.preemptible_priority >= 0)
+        team.soft[Index(o.preemptible_priority)] =
+            team.soft[Index(o.preemptible_priority)] + o.need;
       if (!o.job) continue;
       Tasks& t = tasks[o.job];
       ++t.placed;
-      t.running += o.state == RunState::kRunning;
+      t.running += o.phase == TaskPhase::kRunning;
       ++t.zones[m->zone];
     }
-    if (!(here == m->used) || unknown != m->unknown) return "what is on " + id;
-    if (m->type && (!m->resolved || unknown > 0)) doubt = doubt + (m->type->size - here);
+    if (!(here == m->used) || unknown != m->unknown_tasks) return "what is on " + id;
+    if (m->type && (!m->reconciled || unknown > 0)) doubt = doubt + (m->type->size - here);
   }
   if (!(doubt == doubt_)) return "what may be on machines beside what is known";
   for (size_t i = 0; i < teams.size(); ++i) {
--- a/src/core/leader/occupancy.h
+++ b/src/core/leader/occupancy.h
@@ -16,16 +16,16 @@
 class Occupancy : public Part {
  public:
   explicit Occupancy(const LeaderContext* context);
-  using Occupants = std::map<std::pair<TaskRef, uint64_t>, Occupant>;
+  using Occupants = std::map<std::pair<TaskRef, uint64_t>, Allocation>;
 
   // The team's number in the settings; -1: none.
   int TeamOf(const std::string& name) const;
   // A waiting or queued task is put on a machine.
-  Occupant* Place(Micros now, Machine* m, Job* job, int task, uint64_t attempt);
+  Allocation* Place(Micros now, Machine* m, Job* job, int task, uint64_t attempt);
   // A report lists what was not known to be there; `job` null: of a job that is over.
-  Occupant* Enter(Machine* m, const TaskRef& ref, uint64_t attempt, Job* job);
-  void Became(Occupant* o, RunState state);  // anything but exited
-  void Exited(Machine* m, Occupant* o, ExitCause cause);
+  Allocation* Enter(Machine* m, const TaskRef& ref, uint64_t attempt, Job* job);
+  void Became(Allocation* o, TaskPhase state);  // anything but exited
+  void Exited(Machine* m, Allocation* o, ExitReason cause);
   // Proved not to be there, or not to come there any more. The next entry.
   Occupants::iterator Erase(Machine* m, Occupants::iterator it);
   void Clear(Machine* m);
@@ -60,7 +60,7 @@
   // The limit would allow it once all of the team's work of lower rank that may be stopped is.
   bool LimitCouldAllow(const Job& job, int more) const;
   // CPU that the team's gangs of this rank may still take, by its limit.
-  int64_t FirmRoom(int team, Rank rank) const;
+  int64_t FirmRoom(int team, Priority rank) const;
   // A gang that waits for its team's limit: until all claims are dropped, other work of no higher
   // rank leaves it that much, or smaller tasks would take each bit that becomes free.
   void Claim(const Job& gang, int members);
@@ -82,9 +82,9 @@
   };
   static size_t Index(int team) { return static_cast<size_t>(team); }
   Resources After(const Job& job, int more) const;
-  void Vacate(Occupant* o, const Machine& m);
-  void Count(Machine* m, Occupant* o);
-  void Uncount(Machine* m, Occupant* o);
+  void Vacate(Allocation* o, const Machine& m);
+  void Count(Machine* m, Allocation* o);
+  void Uncount(Machine* m, Allocation* o);
 
   std::vector<TeamCount> teams_;  // by team's number and one; the first is of no team
   Resources doubt_;
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -34,7 +34,7 @@
 void Provisioner::AskTypes(Micros now) {
   asking_types_ = true;
   (void)now;
-  asker()->Cloud(CloudOp{}, Guarded([this](Micros t, CloudReply& r) {
+  asker()->Cloud(CloudRequest{}, Guarded([this](Micros t, CloudResponse& r) {
                    asking_types_ = false;
                    types_at_ = t + (r.ok() ? Seconds(30) : Seconds(2));
                    if (!r.ok()) return;
@@ -63,39 +63,39 @@
 
 void Provisioner::ListMachines(Micros now, const std::string& after) {
   (void)now;
-  CloudOp op;
-  op.kind = CloudOp::Kind::kList;
-  op.after = after;
+  CloudRequest op;
+  op.kind = CloudRequest::Kind::kListInstances;
+  op.start_after = after;
   asker()->Cloud(
-      op, Guarded([this](Micros t, CloudReply& r) {
+      op, Guarded([this](Micros t, CloudResponse& r) {
         listing_ = false;
         list_at_ = t + Seconds(2);
         if (!r.ok()) return;
-        for (const ListedMachine& l : r.listed) {
+        for (const CloudInstance& l : r.instances) {
           list_seen_.insert(l.id);
           Listed(t, l);
         }
-        if (r.more && !r.listed.empty()) {
+        if (r.has_more && !r.instances.empty()) {
           listing_ = true;
-          return ListMachines(t, r.listed.back().id);
+          return ListMachines(t, r.instances.back().id);
         }
         // Once listed, a machine stays listed until it is gone; but a list may be older than the
         // one before, so an absence counts only after a while.
         for (auto& [id, m] : machine_table().machines()) {
-          if (!m->listed || m->stage == MachineStage::kReturning) continue;
+          if (!m->listed_by_cloud || m->stage == MachineStage::kTerminating) continue;
           if (list_seen_.count(id)) {
             m->missing_since = {-1};
           } else if (m->missing_since.count < 0) {
             m->missing_since = t;
           } else if (t - m->missing_since > settings().cloud_list_lag.Scaled(2) + Seconds(4) &&
-                     t - m->heard_at > options().silent_probe) {
+                     t - m->last_contact_at > options().silent_probe) {
             machine_table().GiveBack(t, m.get(), "gone from the cloud's list");
           }
         }
       }));
 }
 
-void Provisioner::Listed(Micros now, const ListedMachine& l) {
+void Provisioner::Listed(Micros now, const CloudInstance& l) {
   if (machine_table().Buried(l.id)) {
     // Given back long ago and still there: once more.
     if (machine_table().RisesAgain(now, l.id)) return_queue_.push_back(l.id);
@@ -106,12 +106,12 @@
     m = machine_table().Adopt(now, l.id, l.endpoint, l.type, l.zone, l.spot);
     m->rented_at = now - l.age;
   }
-  if (!m->listed) {
-    m->listed = true;
+  if (!m->listed_by_cloud) {
+    m->listed_by_cloud = true;
     m->rented_at = std::min(m->rented_at, now - l.age);
     if (m->endpoint.empty()) m->endpoint = l.endpoint;
   }
-  if (l.phase == ListedMachine::Phase::kFailed)
+  if (l.phase == CloudInstance::Phase::kFailed)
     machine_table().GiveBack(now, m, "failed, says the cloud");
 }
 
@@ -130,35 +130,36 @@
   (void)now;
   PendingRent& rent = pending_.at(name);
   rent.asking = true;
-  CloudOp op;
-  op.kind = CloudOp::Kind::kRent;
-  op.name = name;
+  CloudRequest op;
+  op.kind = CloudRequest::Kind::kScaleOut;
+  op.request_name = name;
   op.type = rent.offer.type;
   op.zone = rent.offer.zone;
   op.spot = rent.offer.spot;
   op.count = rent.count;
-  op.good_until = election()->lease_until();
-  asker()->Cloud(op, Guarded([this, name](Micros t, CloudReply& r) {
+  op.valid_until = election()->lease_until();
+  asker()->Cloud(op, Guarded([this, name](Micros t, CloudResponse& r) {
                    auto it = pending_.find(name);
                    if (it == pending_.end()) return;
                    PendingRent& p = it->second;
                    p.asking = false;
                    if (r.ok()) {
-                     for (const std::string& id : r.rented) {
+                     for (const std::string& id : r.created) {
                        if (machine_table().Buried(id)) continue;
                        Machine* m = machine_table().Adopt(t, id, "", p.offer.type, p.offer.zone,
                                                           p.offer.spot);
                        m->rented_at = std::min(m->rented_at, t);
                      }
-                     if (r.rented.size() < static_cast<size_t>(p.count))
+                     if (r.created.size() < static_cast<size_t>(p.count))
                        scaler().Refused(p.offer, t);
                      pending_.erase(it);
-                   } else if (r.outcome == CloudReply::Outcome::kUnknown && ++p.tries < 6) {
+                   } else if (r.outcome == CloudResponse::Outcome::kUnknown && ++p.tries < 6) {
                      p.retry_at = t + Seconds(1);  // the same name: it may have been carried out
                    } else {
-                     if (r.outcome == CloudReply::Outcome::kNoCapacity)
+                     if (r.outcome == CloudResponse::Outcome::kNoCapacity)
                        scaler().Refused(p.offer, t);
-                     if (r.outcome == CloudReply::Outcome::kBusy) scale_at_ = t + Seconds(2);
+                     if (r.outcome == CloudResponse::Outcome::kThrottled)
+                       scale_at_ = t + Seconds(2);
                      pending_.erase(it);
                    }
                  }));
@@ -184,7 +185,7 @@
     all_limits = limit < INT64_MAX ? all_limits + limit : INT64_MAX;
   }
   view.all_limits = all_limits;
-  view.gang_room = [this](int team, Rank rank) { return occupancy().FirmRoom(team, rank); };
+  view.gang_room = [this](int team, Priority rank) { return occupancy().FirmRoom(team, rank); };
   view.team_of = [this](const std::string& name) { return occupancy().TeamOf(name); };
   for (auto& [id, m] : machine_table().machines()) view.machines.push_back(m.get());
   for (auto& [id, job] : job_table().jobs()) view.jobs.push_back(job.get());
@@ -192,23 +193,23 @@
     if (types().count(p.offer.type)) view.pending[p.offer] += p.count;
   }
   const ScalePlan plan = scaler().Decide(view);
-  for (Machine* m : plan.unretire) m->retiring = false;
+  for (Machine* m : plan.unretire) m->draining = false;
   for (Machine* m : plan.retire) {
     asker()->Debug("retiring " + m->id);
-    m->retiring = true;
+    m->draining = true;
     dispatch().Unbind(m);
     // Replicas end only when they are told to; they go on elsewhere.
     bool any = false;
-    for (auto& [key, o] : m->occupants) {
-      if (!o.job || !o.job->service() || o.exited() || o.halt) continue;
-      o.halt = any = true;
-      o.grace = o.job->spec.save_time;
+    for (auto& [key, o] : m->allocations) {
+      if (!o.job || !o.job->IsService() || o.exited() || o.stop_requested) continue;
+      o.stop_requested = any = true;
+      o.grace_period = o.job->spec.checkpoint_duration;
     }
     if (any) machine_table().HaltNow(now, m);
-    if (m->occupants.empty() && m->idle_since.count < 0) m->idle_since = now;
+    if (m->allocations.empty() && m->idle_since.count < 0) m->idle_since = now;
   }
   for (Machine* m : plan.give_back) {
-    if (m->occupants.empty() && m->queue.empty()) machine_table().GiveBack(now, m, "idle");
+    if (m->allocations.empty() && m->queue.empty()) machine_table().GiveBack(now, m, "idle");
   }
   for (const RentPlan& r : plan.rent) Rent(now, r.offer, r.count);
   CountPaid(now);
@@ -242,11 +243,12 @@
       p.short_of_work += dt * static_cast<double>((m->type->size - m->Used()).cpu) /
                          static_cast<double>(m->type->size.cpu);
     }
-    for (auto& [key, o] : m->occupants) {
+    for (auto& [key, o] : m->allocations) {
       const double share =
           static_cast<double>(o.need.cpu) / static_cast<double>(m->type->size.cpu) * dt;
-      if (o.state == RunState::kRunning) p.used += share;
-      if (o.state == RunState::kFetching || o.state == RunState::kSent) p.fetching += share;
+      if (o.phase == TaskPhase::kRunning) p.used += share;
+      if (o.phase == TaskPhase::kFetchingImage || o.phase == TaskPhase::kStartSent)
+        p.fetching += share;
     }
   }
   if (now < log_at_) return;
@@ -265,13 +267,13 @@
 void Provisioner::SendReturns(Micros now) {
   (void)now;
   returning_ = true;
-  CloudOp op;
-  op.kind = CloudOp::Kind::kReturn;
-  op.good_until = election()->lease_until();
+  CloudRequest op;
+  op.kind = CloudRequest::Kind::kScaleIn;
+  op.valid_until = election()->lease_until();
   const size_t n = std::min<size_t>(return_queue_.size(), 100);
   op.machines.assign(return_queue_.begin(), return_queue_.begin() + static_cast<long>(n));
   return_queue_.erase(return_queue_.begin(), return_queue_.begin() + static_cast<long>(n));
-  asker()->Cloud(op, Guarded([this, names = op.machines](Micros t, CloudReply& r) {
+  asker()->Cloud(op, Guarded([this, names = op.machines](Micros t, CloudResponse& r) {
                    returning_ = false;
                    if (!r.ok()) {
                      return_at_ = t + Seconds(1);
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -32,7 +32,7 @@
     double held = 0, boot = 0, used = 0, fetching = 0, short_of_work = 0;
   };
   void ListMachines(Micros now, const std::string& after);
-  void Listed(Micros now, const ListedMachine& l);
+  void Listed(Micros now, const CloudInstance& l);
   void AskTypes(Micros now);
   void Rent(Micros now, const Offer& offer, int count);
   void SendRent(Micros now, const std::string& name);
--- a/src/core/leader/recorder.cpp
+++ b/src/core/leader/recorder.cpp
@@ -55,10 +55,10 @@
 
 void Recorder::Load(Micros now, const Entry& e) {
   if (const auto* progress = std::get_if<ProgressPage>(&e.value)) {
-    Pages::Page* page = progress_pages_.Adopt(e.key, e.stamp);
-    for (const ProgressPiece& p : progress->pieces) LoadPiece(now, page, p);
+    Pages::Page* page = progress_pages_.Adopt(e.key, e.version);
+    for (const ProgressChunk& p : progress->chunks) LoadPiece(now, page, p);
   } else if (const auto* fleet = std::get_if<FleetPage>(&e.value)) {
-    Pages::Page* page = fleet_pages_.Adopt(e.key, e.stamp);
+    Pages::Page* page = fleet_pages_.Adopt(e.key, e.version);
     for (const MachineRecord& r : fleet->machines) {
       fleet_pages_.Hold(page, r.id, MachineBytes(r));
       machine_table().Load(now, r);
@@ -66,24 +66,24 @@
   }
 }
 
-void Recorder::LoadPiece(Micros now, Pages::Page* page, const ProgressPiece& piece) {
+void Recorder::LoadPiece(Micros now, Pages::Page* page, const ProgressChunk& piece) {
   auto it = job_table().jobs().find(piece.job);
   Job* job = it == job_table().jobs().end() ? nullptr : it->second.get();
-  if (!job || piece.chunk < 0 || static_cast<size_t>(piece.chunk) >= job->chunks.size()) {
+  if (!job || piece.chunk < 0 || static_cast<size_t>(piece.chunk) >= job->progress_pages.size()) {
     return progress_pages_.Touch(page, false, now);  // its job is over
   }
   progress_pages_.Hold(page, ProgressItem(piece.job, piece.chunk), PieceBytes(*job, piece.chunk));
-  job->chunks[static_cast<size_t>(piece.chunk)] = page;
+  job->progress_pages[static_cast<size_t>(piece.chunk)] = page;
   DecodeProgress(piece.bits, piece.chunk, kChunkTasks, job->spec.tasks, [&](int task) {
     TaskState& t = job->tasks[static_cast<size_t>(task)];
     if (t.stage != TaskStage::kDone) ++job->done;
     t.stage = TaskStage::kDone;
-    t.saved = true;
+    t.durable = true;
   });
 }
 
 void Recorder::Keep(Micros now, Machine* m) {
-  if (std::exchange(m->recording, true)) return;
+  if (std::exchange(m->durable_write_pending, true)) return;
   fleet_pages_.Put(m->id, MachineBytes(RecordOf(*m)), true, now);
 }
 
@@ -91,7 +91,7 @@
 
 void Recorder::Progressed(Micros now, Job* job, int task) {
   const int chunk = task / kChunkTasks;
-  Pages::Page*& page = job->chunks[static_cast<size_t>(chunk)];
+  Pages::Page*& page = job->progress_pages[static_cast<size_t>(chunk)];
   if (page) {
     progress_pages_.Touch(page, false, now);
   } else {
@@ -101,8 +101,9 @@
 }
 
 void Recorder::Over(Micros now, const Job& job) {
-  for (size_t c = 0; c < job.chunks.size(); ++c) {
-    if (job.chunks[c]) progress_pages_.Drop(ProgressItem(job.spec.id, static_cast<int>(c)), now);
+  for (size_t c = 0; c < job.progress_pages.size(); ++c) {
+    if (job.progress_pages[c])
+      progress_pages_.Drop(ProgressItem(job.spec.id, static_cast<int>(c)), now);
   }
 }
 
@@ -122,17 +123,18 @@
   }
   ProgressPage value;
   for (const std::string& item : page.items) {
-    ProgressPiece p;
+    ProgressChunk p;
     if (!ParseProgressItem(item, &p.job, &p.chunk)) continue;
     auto it = job_table().jobs().find(p.job);
     if (it == job_table().jobs().end()) continue;
     p.bits = EncodeProgress(*it->second, p.chunk, kChunkTasks);
-    value.pieces.push_back(std::move(p));
+    value.chunks.push_back(std::move(p));
   }
   return value;
 }
 
-void Recorder::AddPage(Micros now, Pages* pages, Pages::Page* page, StateOp* op, Batch* batch) {
+void Recorder::AddPage(Micros now, Pages* pages, Pages::Page* page, StateRequest* op,
+                       Batch* batch) {
   Batch::Piece piece{pages, page, page->items.empty(), page->urgent, {}, {}};
   for (const std::string& item : page->items) {
     if (pages == &fleet_pages_) {
@@ -148,15 +150,15 @@
     const int to = std::min(job.spec.tasks, (chunk + 1) * kChunkTasks);
     for (int i = chunk * kChunkTasks; i < to; ++i) {
       const TaskState& t = job.tasks[static_cast<size_t>(i)];
-      if (t.stage == TaskStage::kDone && !t.saved) piece.tasks.emplace_back(id, i);
+      if (t.stage == TaskStage::kDone && !t.durable) piece.tasks.emplace_back(id, i);
     }
   }
   // The page's own version is guarded, so that a late older write can't undo a newer one.
-  op->guards.push_back({page->key, page->stamp});
+  op->preconditions.push_back({page->key, page->stamp});
   if (page->items.empty()) {
-    op->changes.push_back({page->key, true, {}, 0});
+    op->mutations.push_back({page->key, true, {}, 0});
   } else {
-    op->changes.push_back({page->key, false, PageValue(pages, *page), 0});
+    op->mutations.push_back({page->key, false, PageValue(pages, *page), 0});
   }
   pages->Sent(page);
   batch->pieces.push_back(std::move(piece));
@@ -170,24 +172,24 @@
   tokens_at_ = now;
   if (writing_ || now < write_at_ || !election()->leads()) return;
   const size_t most = static_cast<size_t>(std::max(3, settings().state_txn_ops));
-  StateOp op;
-  op.kind = StateOp::Kind::kCommit;
-  op.guards.push_back({keys::kTerm, election()->term_stamp()});
+  StateRequest op;
+  op.kind = StateRequest::Kind::kCompareAndSwap;
+  op.preconditions.push_back({keys::kTerm, election()->term_stamp()});
   auto batch = std::make_shared<Batch>();
   const auto room = [&](size_t n) {
-    return op.changes.size() + n <= most &&
-           write_tokens_ >= static_cast<double>(op.changes.size() + n);
+    return op.mutations.size() + n <= most &&
+           write_tokens_ >= static_cast<double>(op.mutations.size() + n);
   };
-  if (types_dirty_ && op.changes.empty()) {
+  if (types_dirty_ && op.mutations.empty()) {
     // Types first, their number last: who reads a number finds all of them.
     for (const auto& [name, type] : new_types_) {
-      if (op.changes.size() + 2 > most) break;
+      if (op.mutations.size() + 2 > most) break;
       auto it = types().find(name);
       if (it != types().end() && it->second == type) continue;
-      op.changes.push_back({keys::kType + name, false, type, 0});
+      op.mutations.push_back({keys::kType + name, false, type, 0});
     }
-    if (op.changes.size() + 1 < most) {
-      op.changes.push_back(
+    if (op.mutations.size() + 1 < most) {
+      op.mutations.push_back(
           {keys::kTypes, false, TypeCountRecord{static_cast<int>(new_types_.size())}, 0});
       types_dirty_ = false;
     }
@@ -205,71 +207,73 @@
     finish_queue_.pop_front();
     auto it = job_table().jobs().find(id);
     if (it == job_table().jobs().end()) continue;
-    op.guards.push_back({keys::kJob + id, it->second->stamp});
-    op.guards.push_back({keys::kEnd + id, 0});
-    op.changes.push_back({keys::kEnd + id, false, EndRecord{false, it->second->spec.tasks}, 0});
-    op.changes.push_back({keys::kJob + id, true, {}, 0});
+    op.preconditions.push_back({keys::kJob + id, it->second->version});
+    op.preconditions.push_back({keys::kJobEnd + id, 0});
+    op.mutations.push_back(
+        {keys::kJobEnd + id, false, JobEndRecord{false, it->second->spec.tasks}, 0});
+    op.mutations.push_back({keys::kJob + id, true, {}, 0});
     batch->finish.push_back(id);
   }
   for (Pages* pages : {&progress_pages_, &fleet_pages_}) {
-    while (room(1) && write_tokens_ >= static_cast<double>(op.changes.size()) + kKeepForUrgent) {
+    while (room(1) && write_tokens_ >= static_cast<double>(op.mutations.size()) + kKeepForUrgent) {
       Pages::Page* page = pages->Next(false, now, kPagePatience);
       if (!page) break;
       AddPage(now, pages, page, &op, batch.get());
     }
   }
-  if (op.changes.empty()) return;
-  batch->changes = op.changes.size();
+  if (op.mutations.empty()) return;
+  batch->changes = op.mutations.size();
   write_tokens_ -= static_cast<double>(batch->changes);
   writing_ = true;
-  asker()->State(op, Guarded([this, batch](Micros t, StateReply& r) { Written(t, batch, r); }));
+  asker()->State(op, Guarded([this, batch](Micros t, StateResponse& r) { Written(t, batch, r); }));
 }
 
-void Recorder::Written(Micros now, const std::shared_ptr<Batch>& batch, StateReply& r) {
+void Recorder::Written(Micros now, const std::shared_ptr<Batch>& batch, StateResponse& r) {
   writing_ = false;
   if (r.ok()) {
     for (const Batch::Piece& piece : batch->pieces) {
-      piece.pages->Written(piece.page, piece.erased ? 0 : r.epoch);
+      piece.pages->Written(piece.page, piece.erased ? 0 : r.revision);
       for (const std::string& id : piece.machines) {
         Machine* m = machine_table().Find(id);
         if (!m) continue;
-        m->recorded = true;
+        m->durable = true;
         checkins().AnswerHeld(now, m);
       }
       for (const auto& [id, task] : piece.tasks) {
         auto it = job_table().jobs().find(id);
         if (it != job_table().jobs().end())
-          it->second->tasks[static_cast<size_t>(task)].saved = true;
+          it->second->tasks[static_cast<size_t>(task)].durable = true;
       }
     }
     for (const std::string& id : batch->finish) job_table().EndJob(now, id);
     return Write(now);
   }
-  const bool conflict = r.outcome == StateReply::Outcome::kConflict;
-  if (conflict && std::find(r.failed.begin(), r.failed.end(), keys::kTerm) != r.failed.end()) {
+  const bool conflict = r.outcome == StateResponse::Outcome::kConflict;
+  if (conflict &&
+      std::find(r.failed_keys.begin(), r.failed_keys.end(), keys::kTerm) != r.failed_keys.end()) {
     return election()->StepDown(now, "the term has moved on");
   }
   write_at_ = now + (conflict ? Millis(0) : Millis(300));
   // Nothing of it was carried out in a conflict, and what it met is named: a job that was cancelled
   // as it ended, mostly. The rest is sent again at once, or one cancellation would hold up all ends
   // and all machines' first starts. Without an answer each piece is looked at anew.
-  const bool look = r.outcome != StateReply::Outcome::kRefused;
-  if (!look && !r.limited) write_tokens_ += static_cast<double>(batch->changes);
-  const std::set<std::string> failed(r.failed.begin(), r.failed.end());
+  const bool look = r.outcome != StateResponse::Outcome::kRefused;
+  if (!look && !r.rate_limited) write_tokens_ += static_cast<double>(batch->changes);
+  const std::set<std::string> failed(r.failed_keys.begin(), r.failed_keys.end());
   const auto sound = [&](const std::string& key) {
     return !look || (conflict && !failed.empty() && !failed.contains(key));
   };
   if (batch->types) types_dirty_ = true;
   // In the order in which they were.
   for (auto id = batch->finish.rbegin(); id != batch->finish.rend(); ++id) {
-    if (sound(keys::kJob + *id) && sound(keys::kEnd + *id)) finish_queue_.push_front(*id);
+    if (sound(keys::kJob + *id) && sound(keys::kJobEnd + *id)) finish_queue_.push_front(*id);
   }
   for (const std::string& id : batch->finish) {
-    if (sound(keys::kJob + id) && sound(keys::kEnd + id)) continue;
-    StateOp get;
+    if (sound(keys::kJob + id) && sound(keys::kJobEnd + id)) continue;
+    StateRequest get;
     get.key = keys::kJob + id;
-    asker()->State(get, Guarded([this, id](Micros t, StateReply& g) {
-                     if (g.outcome == StateReply::Outcome::kMissing)
+    asker()->State(get, Guarded([this, id](Micros t, StateResponse& g) {
+                     if (g.outcome == StateResponse::Outcome::kNotFound)
                        return job_table().EndJob(t, id);
                      finish_queue_.push_back(id);
                    }));
@@ -284,12 +288,12 @@
 }
 
 void Recorder::LookAtPage(Pages* pages, Pages::Page* page) {
-  StateOp get;
+  StateRequest get;
   get.key = page->key;
-  asker()->State(get, Guarded([pages, page](Micros t, StateReply& g) {
+  asker()->State(get, Guarded([pages, page](Micros t, StateResponse& g) {
                    if (g.ok() && !g.entries.empty()) {
-                     page->stamp = g.entries[0].stamp;
-                   } else if (g.outcome == StateReply::Outcome::kMissing) {
+                     page->stamp = g.entries[0].version;
+                   } else if (g.outcome == StateResponse::Outcome::kNotFound) {
                      page->stamp = 0;
                    }
                    // Not known still: the guard fails if it has changed, and it is looked at again.
--- a/src/core/leader/recorder.h
+++ b/src/core/leader/recorder.h
@@ -32,10 +32,10 @@
 
  private:
   struct Batch;
-  void LoadPiece(Micros now, Pages::Page* page, const ProgressPiece& piece);
-  void AddPage(Micros now, Pages* pages, Pages::Page* page, StateOp* op, Batch* batch);
+  void LoadPiece(Micros now, Pages::Page* page, const ProgressChunk& piece);
+  void AddPage(Micros now, Pages* pages, Pages::Page* page, StateRequest* op, Batch* batch);
   Record PageValue(const Pages* pages, const Pages::Page& page) const;
-  void Written(Micros now, const std::shared_ptr<Batch>& batch, StateReply& r);
+  void Written(Micros now, const std::shared_ptr<Batch>& batch, StateResponse& r);
   void LookAtPage(Pages* pages, Pages::Page* page);
 
   Pages fleet_pages_, progress_pages_;
--- a/src/core/leader/rights.cpp
+++ b/src/core/leader/rights.cpp
@@ -26,7 +26,8 @@
 limits::Settings LimitsSettings(const CellsPlan& plan) {
   limits::Settings out;
   out.self = plan.self;
-  for (const CellSite& c : plan.cells) out.cells.push_back({c.name, c.founding, c.drains, c.heir});
+  for (const CellSite& c : plan.cells)
+    out.cells.push_back({c.name, c.initial_member, c.draining, c.successor});
   return out;
 }
 
@@ -42,7 +43,7 @@
   const auto* record = std::get_if<limits::EscrowRecord>(&e.value);
   if (!record || e.key != keys::kEscrow) return;
   read_ = *record;
-  stamp_ = e.stamp;
+  stamp_ = e.version;
 }
 
 void Rights::Begin(Micros now) {
@@ -79,20 +80,20 @@
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->team < 0 || job->finishing) continue;
     const auto t = static_cast<size_t>(job->team);
-    all[t] = all[t] + job->spec.need.Times(job->left());
-    const int open = job->left() - job->placed;
+    all[t] = all[t] + job->spec.need.Times(job->remaining());
+    const int open = job->remaining() - job->placed;
     if (open <= 0) continue;
     limits::Need& need = needs[t];
-    const bool whole = job->gang() || job->service();
+    const bool whole = job->IsGang() || job->IsService();
     const Resources once = job->spec.need.Times(whole ? open : 1);
     if (waiting[t] == Resources{}) need.since_ms = job->spec.submitted_ms;
     waiting[t] = waiting[t] + job->spec.need.Times(open);
     largest[t] = {std::max(largest[t].cpu, once.cpu), std::max(largest[t].gpu, once.gpu), 0};
     need.since_ms = std::min(need.since_ms, job->spec.submitted_ms);
-    need.rank = std::min(need.rank, static_cast<int>(job->spec.rank));
-    if (job->gang() && job->placed == 0 && job->limit_since < kNever &&
-        (!gangs[t] || std::tie(job->spec.rank, job->spec.submitted_ms) <
-                          std::tie(gangs[t]->spec.rank, gangs[t]->spec.submitted_ms))) {
+    need.rank = std::min(need.rank, static_cast<int>(job->spec.priority));
+    if (job->IsGang() && job->placed == 0 && job->quota_blocked_since < kNever &&
+        (!gangs[t] || std::tie(job->spec.priority, job->spec.submitted_ms) <
+                          std::tie(gangs[t]->spec.priority, gangs[t]->spec.submitted_ms))) {
       gangs[t] = job.get();
     }
     if (occupancy().LimitAllows(*job, whole ? open : 1)) allowed[t] = job.get();
@@ -113,9 +114,9 @@
                  std::min(all[t].cpu, team.guarantee.cpu),
                  std::min(all[t].gpu, team.guarantee.gpu)};
     if (gangs[t]) {
-      const Resources gang = gangs[t]->spec.need.Times(gangs[t]->left());
+      const Resources gang = gangs[t]->spec.need.Times(gangs[t]->remaining());
       need.whole = true;
-      need.rank = static_cast<int>(gangs[t]->spec.rank);
+      need.rank = static_cast<int>(gangs[t]->spec.priority);
       need.since_ms = gangs[t]->spec.submitted_ms;
       need.more[limits::kLimitCpu] = gang.cpu;
       need.more[limits::kLimitGpu] = gang.gpu;
@@ -133,7 +134,7 @@
   }
 }
 
-void Rights::OnNote(Micros now, const limits::CellNote& note) {
+void Rights::OnNote(Micros now, const limits::CellMessage& note) {
   if (alone() || !escrow_->OnNote(note, TimeOfDay(now))) return;
   leaders_[note.from] = note.node;
   heard_at_[note.from] = now;
@@ -143,20 +144,20 @@
 
 void Rights::Speak(Micros now) {
   speak_at_ = now + kSpeakEvery;
-  for (limits::CellNote& note : escrow_->Notes()) {
-    note.node = settings().back;
+  for (limits::CellMessage& note : escrow_->Notes()) {
+    note.node = settings().peer_listen;
     note.term = election()->term();
-    CellSend send;
+    CellDelivery send;
     auto heard = heard_at_.find(note.to);
     if (heard != heard_at_.end() && now - heard->second < kForgetLeader) {
-      send.to = {leaders_[note.to]};
+      send.addresses = {leaders_[note.to]};
     } else {
       for (const CellSite& c : options().cells.cells) {
-        if (c.name == note.to) send.to = c.backs;
+        if (c.name == note.to) send.addresses = c.addresses;
       }
     }
-    send.note = std::move(note);
-    asker()->out.cells.push_back(std::move(send));
+    send.message = std::move(note);
+    asker()->out.cell_deliveries.push_back(std::move(send));
   }
 }
 
@@ -167,51 +168,51 @@
   const std::optional<limits::EscrowRecord> record = escrow_->ToWrite();
   if (!record) return;
   writing_ = true;
-  StateOp op;
-  op.kind = StateOp::Kind::kCommit;
-  op.guards = {{keys::kTerm, election()->term_stamp()}, {keys::kEscrow, stamp_}};
-  op.changes.push_back({keys::kEscrow, false, *record, 0});
-  asker()->State(op, Guarded([this, number = record->number](Micros t, StateReply& r) {
+  StateRequest op;
+  op.kind = StateRequest::Kind::kCompareAndSwap;
+  op.preconditions = {{keys::kTerm, election()->term_stamp()}, {keys::kEscrow, stamp_}};
+  op.mutations.push_back({keys::kEscrow, false, *record, 0});
+  asker()->State(op, Guarded([this, number = record->number](Micros t, StateResponse& r) {
                    Written(t, r, number);
                  }));
 }
 
-void Rights::Written(Micros now, StateReply& r, uint64_t number) {
+void Rights::Written(Micros now, StateResponse& r, uint64_t number) {
   writing_ = false;
   if (r.ok()) {
-    stamp_ = r.epoch;
+    stamp_ = r.revision;
     write_at_ = now + kWritePause;
     escrow_->Written(number);
     Apply();
     speak_at_ = now;  // what waits for it is told at once
     return;
   }
-  if (r.outcome == StateReply::Outcome::kConflict &&
-      std::find(r.failed.begin(), r.failed.end(), keys::kTerm) != r.failed.end()) {
+  if (r.outcome == StateResponse::Outcome::kConflict &&
+      std::find(r.failed_keys.begin(), r.failed_keys.end(), keys::kTerm) != r.failed_keys.end()) {
     return election()->StepDown(now, "the term has moved on");
   }
   write_at_ = now + Millis(300);
-  if (r.outcome == StateReply::Outcome::kRefused) return;  // the same once more
+  if (r.outcome == StateResponse::Outcome::kRefused) return;  // the same once more
   LookAgain(now, number);
 }
 
 void Rights::LookAgain(Micros now, uint64_t number) {
   (void)now;
   writing_ = true;
-  StateOp get;
+  StateRequest get;
   get.key = keys::kEscrow;
-  asker()->State(get, Guarded([this, number](Micros t, StateReply& g) {
+  asker()->State(get, Guarded([this, number](Micros t, StateResponse& g) {
                    writing_ = false;
                    write_at_ = t + Millis(300);
                    if (!g.ok() || g.entries.empty()) return;  // the same once more
                    const Entry& e = g.entries[0];
                    const auto* record = std::get_if<limits::EscrowRecord>(&e.value);
                    if (record && record->number == number) {
-                     stamp_ = e.stamp;
+                     stamp_ = e.version;
                      escrow_->Written(number);
                      Apply();
                      speak_at_ = t;
-                   } else if (e.stamp != stamp_) {
+                   } else if (e.version != stamp_) {
                      election()->StepDown(t, "the record of limits is another's");
                    }
                  }));
--- a/src/core/leader/rights.h
+++ b/src/core/leader/rights.h
@@ -24,7 +24,7 @@
   void Load(const Entry& e);
   void Begin(Micros now);
   void Tick(Micros now);
-  void OnNote(Micros now, const limits::CellNote& note);
+  void OnNote(Micros now, const limits::CellMessage& note);
   // For people: what is held, and whether it may be used.
   std::string Summary() const;
   const limits::Escrow* escrow() const { return escrow_.get(); }
@@ -38,7 +38,7 @@
   void Apply();
   void Speak(Micros now);
   void Write(Micros now);
-  void Written(Micros now, StateReply& r, uint64_t number);
+  void Written(Micros now, StateResponse& r, uint64_t number);
   void LookAgain(Micros now, uint64_t number);
 
   std::unique_ptr<limits::Escrow> escrow_;
--- a/src/core/leader/sharing.cpp
+++ b/src/core/leader/sharing.cpp
@@ -27,8 +27,8 @@
       stopping_(settings().teams.size()) {}
 
 int Sharing::Before(const Job& a, const Job& b) const {
-  if (a.guaranteed() != b.guaranteed()) return a.guaranteed() ? 1 : -1;
-  if (a.team == b.team || a.team < 0 || b.team < 0 || a.spec.rank != b.spec.rank) return 0;
+  if (a.IsGuaranteed() != b.IsGuaranteed()) return a.IsGuaranteed() ? 1 : -1;
+  if (a.team == b.team || a.team < 0 || b.team < 0 || a.spec.priority != b.spec.priority) return 0;
   const bool over_a = shares_[static_cast<size_t>(a.team)].over;
   const bool over_b = shares_[static_cast<size_t>(b.team)].over;
   return over_a == over_b ? 0 : over_b ? 1 : -1;
@@ -50,25 +50,25 @@
   at_ = now + kLookEvery;
   for (Resources& r : stopping_) r = {};
   for (const auto& [id, m] : machine_table().machines()) {
-    if (m->kept_for && now >= m->kept_until) m->kept_for = nullptr;
+    if (m->held_for && now >= m->held_until) m->held_for = nullptr;
   }
   Weigh(now);
   std::vector<Job*> short_of;
   for (Job* job : pressing_) {
-    if (job->guaranteed() && now - job->short_since >= options().reclaim_wait) {
+    if (job->IsGuaranteed() && now - job->guarantee_short_since >= options().reclaim_wait) {
       short_of.push_back(job);
     }
   }
   if (short_of.empty() || !election()->MayStart(now)) return;
   for (const auto& [id, m] : machine_table().machines()) {
-    for (const auto& [key, o] : m->occupants) {
-      if (!o.halt || o.exited() || o.team < 0) continue;
+    for (const auto& [key, o] : m->allocations) {
+      if (!o.stop_requested || o.exited() || o.team < 0) continue;
       Resources& r = stopping_[static_cast<size_t>(o.team)];
       r = r + o.need;
     }
   }
   std::stable_sort(short_of.begin(), short_of.end(),
-                   [](const Job* a, const Job* b) { return a->arrived < b->arrived; });
+                   [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
   for (Job* job : short_of) Reclaim(now, job);
 }
 
@@ -83,7 +83,7 @@
   Resources wanted;
   for (Share& s : shares_) s = {};
   for (const auto& [id, job] : job_table().jobs()) {
-    const int open = job->wanted() - job->placed;
+    const int open = job->WantedTasks() - job->placed;
     if (open <= 0 || job->finishing || job->team < 0) continue;
     if (!occupancy().LimitAllows(*job, 1)) continue;  // it waits for its own team
     shares_[static_cast<size_t>(job->team)].wants = true;
@@ -106,10 +106,11 @@
   }
   pressing_.clear();
   for (const auto& [id, job] : job_table().jobs()) {
-    if (job->gang() || job->team < 0 || job->wanted() == job->placed || job->finishing) continue;
+    if (job->IsGang() || job->team < 0 || job->WantedTasks() == job->placed || job->finishing)
+      continue;
     const Share& s = shares_[static_cast<size_t>(job->team)];
     const bool under = any_over && s.dominant * active < sum;
-    if (job->guaranteed() || under) pressing_.push_back(job.get());
+    if (job->IsGuaranteed() || under) pressing_.push_back(job.get());
   }
 }
 
@@ -120,17 +121,17 @@
   struct Choice {
     bool lost;  // it does not save
     Micros ran;
-    Occupant* o;
+    Allocation* o;
   };
   std::vector<Choice> choices;
-  for (auto& [key, o] : m->occupants) {
+  for (auto& [key, o] : m->allocations) {
     if (o.exited()) continue;
-    if (o.halt) {
+    if (o.stop_requested) {
       room = room + o.need;  // on its way out
-    } else if (o.job && o.team != job.team && !o.job->gang() && !o.job->service() &&
+    } else if (o.job && o.team != job.team && !o.job->IsGang() && !o.job->IsService() &&
                Beyond(o.team, o.need)) {
       const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
-      choices.push_back({o.job->spec.checkpoint_every.count == 0, now - t.bound_at, &o});
+      choices.push_back({o.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &o});
     }
   }
   std::sort(choices.begin(), choices.end(), [](const Choice& a, const Choice& b) {
@@ -158,7 +159,7 @@
 std::vector<Sharing::Freed> Sharing::PlacesFor(Micros now, const Job& job, int tasks) const {
   std::vector<Freed> places;
   for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().Ready(*m, now) || m->kept_for || m->reserved) continue;
+    if (!machine_table().Ready(*m, now) || m->held_for || m->reserved_for) continue;
     if (!Allows(job.spec, *m->type, m->zone, m->spot) || !occupancy().ZoneAllows(job, m->zone)) {
       continue;
     }
@@ -174,9 +175,9 @@
 // other teams run beyond theirs is stopped, what saves first, then what ran least. A team that
 // takes stays within its guarantee and one that gives keeps its own, so no two take in turns.
 void Sharing::Reclaim(Micros now, Job* job) {
-  int missing = std::min(job->within, job->left()) - job->placed;
+  int missing = std::min(job->tasks_within_guarantee, job->remaining()) - job->placed;
   for (const auto& [id, m] : machine_table().machines()) {
-    if (m->kept_for == job) missing -= m->kept_tasks;
+    if (m->held_for == job) missing -= m->held_tasks;
   }
   if (missing <= 0 || machine_table().Held(*job) || !occupancy().LimitAllows(*job, 1)) return;
   auto& [stopped, since] = stopped_[static_cast<size_t>(job->team)];
@@ -194,25 +195,26 @@
     int64_t cpu = 0;
     bool whole = true;
     Micros save;
-    for (const Occupant* o : place.victims) {
+    for (const Allocation* o : place.victims) {
       cpu += o->need.cpu;
       // Another place may have used up what the team has beyond its guarantee.
       whole = whole && Beyond(o->team, o->need);
-      save = std::max(save, o->job->spec.save_time);
+      save = std::max(save, o->job->spec.checkpoint_duration);
     }
     if (!whole || (cpu > 0 && stopped + cpu > most)) continue;
-    for (Occupant* o : place.victims) {
-      o->halt = true;
-      o->grace = o->job->spec.checkpoint_every.count > 0 ? o->job->spec.save_time : Micros{};
+    for (Allocation* o : place.victims) {
+      o->stop_requested = true;
+      o->grace_period =
+          o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
       Resources& r = stopping_[static_cast<size_t>(o->team)];
       r = r + o->need;
       ++told;
     }
     stopped += cpu;
     const int holds = std::min(place.tasks, missing);
-    place.machine->kept_for = job;
-    place.machine->kept_tasks = holds;
-    place.machine->kept_until = now + kKeepRoom + save;
+    place.machine->held_for = job;
+    place.machine->held_tasks = holds;
+    place.machine->held_until = now + kKeepRoom + save;
     tasks += holds;
     missing -= holds;
     if (!place.victims.empty()) machine_table().HaltNow(now, place.machine);
--- a/src/core/leader/sharing.h
+++ b/src/core/leader/sharing.h
@@ -33,7 +33,7 @@
     Machine* machine = nullptr;
     int tasks = 0;
     double cost = 0;  // of each
-    std::vector<Occupant*> victims;
+    std::vector<Allocation*> victims;
   };
   void Weigh(Micros now);
   void Reclaim(Micros now, Job* job);
--- a/src/core/leader/supervisor.cpp
+++ b/src/core/leader/supervisor.cpp
@@ -18,17 +18,17 @@
 // Everything that a job's next step can hang on, in the order in which it would be met.
 std::string Supervisor::WhyItWaits(Micros now, const Job& job) const {
   if (job.finishing) return "all done, its end waits to be written";
-  if (job.called_off) return "its cancellation is being recorded";
+  if (job.cancel_pending) return "its cancellation is being recorded";
   if (machine_table().Held(job))
     return Number(static_cast<int64_t>(machine_table().unresolved().size())) +
            " machines unresolved";
   if (!election()->MayStart(now)) return "the lease does not hold";
   if (!authority().MayStart(now)) return "what was cancelled of late is not known";
-  if (!occupancy().LimitAllows(job, job.gang() ? job.left() - job.placed : 1))
+  if (!occupancy().LimitAllows(job, job.IsGang() ? job.remaining() - job.placed : 1))
     return "its team's limit";
-  if (job.gang() && job.gang_stopping) return "its last attempt is being stopped";
-  if (now < job.not_before) return "a pause after failures";
-  if (!job.gang() && !job.delayed.empty() && job.waiting.empty() && job.queued == 0 &&
+  if (job.IsGang() && job.gang_stopping) return "its last attempt is being stopped";
+  if (now < job.backoff_until) return "a pause after failures";
+  if (!job.IsGang() && !job.delayed.empty() && job.waiting.empty() && job.queued == 0 &&
       job.placed == 0) {
     return "a pause after failures";
   }
@@ -41,7 +41,7 @@
     ++able;
     if (!machine_table().Ready(*m, now)) continue;
     ++ready;
-    unrecorded += !m->recorded;
+    unrecorded += !m->durable;
     room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
   }
   if (able == 0) return "no machine that may hold it";
@@ -59,8 +59,8 @@
   std::string out = id + ": " + Number(job.done) + " of " + Number(job.spec.tasks) +
                     " tasks done, " + Number(job.placed) + " on machines, " + Number(job.running) +
                     " running, " + Number(job.queued) + " in queues";
-  if (job.gang()) out += ", attempt " + Number(static_cast<int64_t>(job.gang_attempt & 0xffffff));
-  return out + "; not moved for " + Number((now - job.moved_at).ToMillis() / 1000) +
+  if (job.IsGang()) out += ", attempt " + Number(static_cast<int64_t>(job.gang_attempt & 0xffffff));
+  return out + "; not moved for " + Number((now - job.progressed_at).ToMillis() / 1000) +
          " s: " + WhyItWaits(now, job);
 }
 
@@ -68,8 +68,9 @@
 Micros Supervisor::Patience(const Job& job) const {
   Micros boot;
   for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
-  const Micros usual = boot.Scaled(2 * options().boot_patience) + settings().gang_wait.Scaled(2) +
-                       job.spec.estimate.Scaled(4);
+  const Micros usual = boot.Scaled(2 * options().boot_patience) +
+                       settings().gang_start_timeout.Scaled(2) +
+                       job.spec.estimated_runtime.Scaled(4);
   return std::max(options().stuck_after, usual);
 }
 
@@ -78,16 +79,16 @@
   at_ = now + kLookEvery;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
-    if (job->service() && job->placed == job->left()) continue;
-    if (now - job->moved_at < Patience(*job) || now < job->told_stuck_at) continue;
-    job->told_stuck_at = now + Patience(*job);
+    if (job->IsService() && job->placed == job->remaining()) continue;
+    if (now - job->progressed_at < Patience(*job) || now < job->stuck_logged_at) continue;
+    job->stuck_logged_at = now + Patience(*job);
     asker()->Info("stuck: " + Explain(now, id));
     Recount(now, job);
     // One that only gathers is stopped as after the loss of a member: it starts anew when all of it
     // is proved gone. One that runs may just take long.
-    if (job->gang() && job->placed > 0 && !job->gang_ran && !job->gang_stopping) {
+    if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
       asker()->Info("stuck: " + id + " is stopped and tried again");
-      gangs().Halt(now, job, job->spec.save_time);
+      gangs().Halt(now, job, job->spec.checkpoint_duration);
     }
   }
 }
@@ -103,10 +104,10 @@
   std::set<const Machine*> known;
   for (auto& [id, m] : machine_table().machines()) {
     known.insert(m.get());
-    for (auto& [key, o] : m->occupants) {
+    for (auto& [key, o] : m->allocations) {
       if (o.job != job || o.exited()) continue;
       ++placed;
-      running += o.state == RunState::kRunning;
+      running += o.phase == TaskPhase::kRunning;
       ++zones[m->zone];
       const TaskState& t = job->tasks[static_cast<size_t>(o.ref.task)];
       if (t.machine == m.get() && t.attempt == o.attempt)
