--- a/src/core/model/effects.h
+++ b/src/core/model/effects.h
@@ -14,71 +14,71 @@
 using RequestId = uint64_t;
 
 // ---- State service ----
-struct Guard {
+struct Precondition {
   std::string key;
-  uint64_t stamp = 0;
+  uint64_t version = 0;
 };
-struct Change {
+struct Mutation {
   std::string key;
-  bool erase = false;
+  bool is_delete = false;
   Record value;
   uint64_t lease = 0;
 };
-struct StateOp {
-  enum class Kind { kGet, kList, kCommit, kGrant, kTouch, kRelease, kWatch };
+struct StateRequest {
+  enum class Kind { kGet, kList, kCompareAndSwap, kGrantLease, kRenewLease, kRevokeLease, kWatch };
   RequestId id = 0;
   Kind kind = Kind::kGet;
-  std::string key;        // key or prefix
-  std::string after;      // paging
-  uint64_t revision = 0;  // watch
+  std::string key;          // key or prefix
+  std::string start_after;  // paging
+  uint64_t revision = 0;    // watch
   uint64_t lease = 0;
-  Micros span;  // lease time or watch wait
-  std::vector<Guard> guards;
-  std::vector<Change> changes;
+  Micros duration;  // lease time or watch wait
+  std::vector<Precondition> preconditions;
+  std::vector<Mutation> mutations;
 };
 struct Entry {
   std::string key;
   Record value;
-  uint64_t stamp = 0;
-  bool erased = false;
+  uint64_t version = 0;
+  bool deleted = false;
 };
-struct StateReply {
+struct StateResponse {
   // kRefused: surely not carried out. kUnknown: may have been, or may be later.
-  enum class Outcome { kOk, kMissing, kConflict, kInvalid, kCompacted, kRefused, kUnknown };
+  enum class Outcome { kOk, kNotFound, kConflict, kInvalid, kCompacted, kRefused, kUnknown };
   Outcome outcome = Outcome::kUnknown;
   std::vector<Entry> entries;
-  std::vector<std::string> failed;
-  uint64_t epoch = 0;
+  std::vector<std::string> failed_keys;
+  uint64_t revision = 0;
   uint64_t lease = 0;
-  bool more = false;
-  bool limited = false;  // kRefused because its limit is reached
+  bool has_more = false;
+  bool rate_limited = false;  // kRefused because its limit is reached
   bool ok() const { return outcome == Outcome::kOk; }
 };
 
 // ---- Cloud ----
-struct CloudOp {
-  enum class Kind { kTypes, kRent, kReturn, kList };
+struct CloudRequest {
+  enum class Kind { kListMachineTypes, kScaleOut, kScaleIn, kListInstances };
   RequestId id = 0;
-  Kind kind = Kind::kTypes;
-  std::string name, type, zone, after;
+  Kind kind = Kind::kListMachineTypes;
+  std::string request_name, type, zone, start_after;
   bool spot = false;
   int count = 0;
   std::vector<std::string> machines;
-  Micros good_until = kNever;  // not sent any more after that: answered kBusy
+  Micros valid_until = kNever;  // not sent any more after that: answered kBusy
 };
-struct ListedMachine {
+struct CloudInstance {
   std::string id, endpoint, type, zone;
   bool spot = false;
   enum class Phase { kStarting, kRunning, kFailed } phase = Phase::kStarting;
   Micros age;
 };
-struct CloudReply {
-  enum class Outcome { kOk, kNoCapacity, kInvalid, kBusy, kUnknown };
+struct CloudResponse {
+  enum class Outcome { kOk, kNoCapacity, kInvalid, kThrottled, kUnknown };
   Outcome outcome = Outcome::kUnknown;
   std::vector<MachineType> types;
-  std::vector<std::string> rented;
-  std::vector<ListedMachine> listed;
-  bool more = false;
+  std::vector<std::string> created;
+  std::vector<CloudInstance> instances;
+  bool has_more = false;
   bool ok() const { return outcome == Outcome::kOk; }
 };
 
@@ -88,83 +88,100 @@
   int task = 0;
   auto operator<=>(const TaskRef&) const = default;
 };
-enum class RunState { kSent, kFetching, kGathering, kRunning, kFlushing, kExited };
-enum class ExitCause { kNone, kDone, kHalted, kPeers, kAlone, kError, kFull, kBusy, kUnknown };
-struct ReportedTask {
+enum class TaskPhase {
+  kStartSent,
+  kFetchingImage,
+  kWaitingForGang,
+  kRunning,
+  kCheckpointing,
+  kExited
+};
+enum class ExitReason {
+  kNone,
+  kDone,
+  kStopped,
+  kGangMemberLost,
+  kGangIncomplete,
+  kError,
+  kInsufficientResources,
+  kDuplicateTask,
+  kUnknownTask
+};
+struct TaskStatus {
   TaskRef ref;
   uint64_t attempt = 0;
-  RunState state = RunState::kRunning;
-  ExitCause cause = ExitCause::kNone;
-  bool saved = false;
+  TaskPhase phase = TaskPhase::kRunning;
+  ExitReason exit_reason = ExitReason::kNone;
+  bool checkpointed = false;
 };
-struct Report {
+struct Heartbeat {
   std::string machine, endpoint, type, zone;
   bool spot = false;
-  uint64_t session = 0, seq = 0, fencing_token = 0;
-  std::optional<Micros> notice;
-  std::vector<ReportedTask> tasks;
+  uint64_t agent_epoch = 0, sequence = 0, fencing_token = 0;
+  std::optional<Micros> preemption_notice;
+  std::vector<TaskStatus> tasks;
 };
-struct Order {
-  enum class Verb { kStart, kHalt, kClear };
+struct Command {
+  enum class Verb { kStart, kStop, kForget };
   Verb verb = Verb::kStart;
   TaskRef ref;
   uint64_t attempt = 0;
-  Micros grace;
+  Micros grace_period;
 };
-struct CheckinAnswer {
-  RequestId token = 0;
+struct HeartbeatResponse {
+  RequestId request_id = 0;
   int status = 503;  // 200, 421 or 503
   std::string leader;
   uint64_t fencing_token = 0;
-  std::vector<Order> orders;
-  Micros good_until = kNever;  // its starts may not leave after that: the report gets 503
+  std::vector<Command> commands;
+  Micros valid_until = kNever;  // its starts may not leave after that: the report gets 503
 };
-struct DirectOp {
+struct CommandRequest {
   RequestId id = 0;
   std::string machine, endpoint;
-  uint64_t fencing_token = 0, session = 0;
-  std::vector<Order> orders;
+  uint64_t fencing_token = 0, agent_epoch = 0;
+  std::vector<Command> commands;
 };
-struct DirectReply {
+struct CommandResponse {
   int status = 0;  // 0: no answer
-  std::optional<Report> report;
+  std::optional<Heartbeat> heartbeat;
 };
 
 // ---- Users ----
-enum class Phase { kPending, kRunning, kDone, kWithdrawn };
-struct UserAnswer {
-  RequestId token = 0;
+enum class JobPhase { kPending, kRunning, kDone, kCancelled };
+struct ApiResponse {
+  RequestId request_id = 0;
   int status = 503;
   std::string job;
-  Phase phase = Phase::kPending;
+  JobPhase phase = JobPhase::kPending;
   int done = 0, running = 0;
   std::string reason;  // for refusals
   int retry_after_s = 0;
 };
 
 // ---- Peers ----
-struct JobDigest {
+struct JobStatus {
   std::string job;
   int done = 0, running = 0;
 };
-struct PeerNote {
+struct PeerStatus {
   std::string from;
   uint64_t term = 0;
   std::string leader;
-  bool state_ok = false;
-  std::vector<JobDigest> jobs;
-  bool hears_workers = false;  // some worker has reported there of late
+  bool state_service_reachable = false;
+  std::vector<JobStatus> job_statuses;
+  bool receives_heartbeats = false;  // some worker has reported there of late
   // Jobs whose cancellation is being recorded there: nothing of them is worth starting. A hint;
   // lost, late or repeated it does no harm.
-  std::vector<std::string> calls_off;
+  std::vector<std::string> cancelling;
   // Jobs whose cancellation is durable. Ends never change, so this is good however late it comes.
-  std::vector<std::string> called_off;
+  std::vector<std::string> cancelled;
 };
 
 // What a leader tells another cell's: to one address, or to all of the cell's.
-struct CellSend {
-  std::vector<std::string> to;
-  limits::CellNote note;
+struct CellDelivery {
+  std::vector<std::string> addresses;
+  limits::CellMessage message;
 };
 
 struct LogLine {
@@ -173,14 +190,14 @@
 };
 
 struct Effects {
-  std::vector<StateOp> state;
-  std::vector<CloudOp> cloud;
-  std::vector<DirectOp> direct;
-  std::vector<CheckinAnswer> checkins;
-  std::vector<UserAnswer> answers;
-  std::vector<PeerNote> notes;
-  std::vector<CellSend> cells;
-  std::vector<membership::Message> members;
+  std::vector<StateRequest> state_requests;
+  std::vector<CloudRequest> cloud_requests;
+  std::vector<CommandRequest> command_requests;
+  std::vector<HeartbeatResponse> heartbeat_responses;
+  std::vector<ApiResponse> api_responses;
+  std::vector<PeerStatus> peer_statuses;
+  std::vector<CellDelivery> cell_deliveries;
+  std::vector<membership::Message> membership_messages;
   std::vector<LogLine> log;
 };
 
--- a/src/core/model/jobs.h
+++ b/src/core/model/jobs.h
@@ -24,7 +24,7 @@
 
 struct TaskState {
   TaskStage stage = TaskStage::kWaiting;
-  bool saved = false;  // its completion is durable
+  bool durable = false;  // its completion is durable
   uint8_t failures = 0;
   Machine* machine = nullptr;
   Micros bound_at;  // when it was queued, then when it was placed
@@ -33,65 +33,67 @@
 
 struct Job {
   JobSpec spec;
-  uint64_t stamp = 0;  // version of its durable record
-  Micros arrived;      // on the leader's steady clock, from the time of day at submission
+  uint64_t version = 0;  // version of its durable record
+  Micros submitted_at;   // on the leader's steady clock, from the time of day at submission
   int bucket = 0;
   int team = -1;             // its number in the settings
   Micros start_by = kNever;  // by its lane's objective
   // When a task of it has to start to be done by one of its lane's aims: from, until.
-  std::vector<std::pair<Micros, Micros>> last_starts;
+  std::vector<std::pair<Micros, Micros>> objective_windows;
   std::vector<TaskState> tasks;
   int done = 0;
   int placed = 0;
   int running = 0;
-  int within = 0;                         // so many of its tasks are within its team's guarantee
-  Micros short_since = kNever;            // some of those are on no machine since then
+  int tasks_within_guarantee = 0;         // so many of its tasks are within its team's guarantee
+  Micros guarantee_short_since = kNever;  // some of those are on no machine since then
   std::map<std::string, int> zone_count;  // tasks on machines, or perhaps there
   bool finishing = false;                 // all done, the end is being written
-  bool called_off = false;                // its cancellation is being recorded, says a node
+  bool cancel_pending = false;            // its cancellation is being recorded, says a node
 
   std::deque<int> waiting;                   // may hold tasks that have left kWaiting
   std::deque<std::pair<int, Micros>> bound;  // (task, bound_at), oldest first
   std::multimap<Micros, int> delayed;        // after failures
   int queued = 0;
 
-  Micros moved_at;       // a task was started, came back or was done
-  Micros told_stuck_at;  // no word that it does not move before
+  Micros progressed_at;    // a task was started, came back or was done
+  Micros stuck_logged_at;  // no word that it does not move before
 
-  uint64_t gang_attempt = 0;  // 0: not placed
-  bool gang_ran = false;      // some member was seen running in this attempt
+  uint64_t gang_attempt = 0;      // 0: not placed
+  bool gang_attempt_ran = false;  // some member was seen running in this attempt
   bool gang_stopping = false;
-  bool began = false;           // gangs: some attempt of it ran, in this term
-  bool passed_over = false;     // arrays: nothing of it has moved for long
-  bool reserving = false;       // machines are kept for it
-  Micros limit_since = kNever;  // gangs: waits for its team's limit since then
-  Micros not_before;            // gangs: no new attempt before
+  bool has_run = false;                 // gangs: some attempt of it ran, in this term
+  bool starved = false;                 // arrays: nothing of it has moved for long
+  bool has_reservation = false;         // machines are kept for it
+  Micros quota_blocked_since = kNever;  // gangs: waits for its team's limit since then
+  Micros backoff_until;                 // gangs: no new attempt before
 
   // Where the progress of each chunk of tasks is kept; null before any is done.
-  std::vector<Pages::Page*> chunks;
+  std::vector<Pages::Page*> progress_pages;
   int failures = 0;
-  std::vector<std::string> failed_on;  // distinct machines, a few
+  std::vector<std::string> failed_machines;  // distinct machines, a few
   // While it is at fault: so many tasks at a time, the next not before.
-  int probes = 1;
-  Micros probe_at, probe_pause;
+  int probe_limit = 1;
+  Micros next_probe_at, probe_backoff;
 
-  bool gang() const { return spec.shape == Shape::kGang; }
-  bool service() const { return spec.shape == Shape::kService; }
-  int left() const { return spec.tasks - done; }
+  bool IsGang() const { return spec.kind == JobKind::kGang; }
+  bool IsService() const { return spec.kind == JobKind::kService; }
+  int remaining() const { return spec.tasks - done; }
   // It fails on one machine after the other, and hardly anywhere else.
-  bool AtFault() const { return failed_on.size() >= 3 && failures >= 3 * (done + running); }
+  bool IsFaulty() const { return failed_machines.size() >= 3 && failures >= 3 * (done + running); }
   // What of it is worth room: a job at fault gets none beyond its probes.
-  int wanted() const { return AtFault() ? std::min(left(), placed + probes) : left(); }
+  int WantedTasks() const {
+    return IsFaulty() ? std::min(remaining(), placed + probe_limit) : remaining();
+  }
   // Its next start is within its team's guarantee.
-  bool guaranteed() const { return placed < within; }
+  bool IsGuaranteed() const { return placed < tasks_within_guarantee; }
   // No task of it is on a machine or done, though it has waited well past the age limit.
-  bool Unbegun(Micros now, Micros limit) const {
-    return placed == 0 && done == 0 && now - arrived > limit.Scaled(1.25);
+  bool IsUnstarted(Micros now, Micros limit) const {
+    return placed == 0 && done == 0 && now - submitted_at > limit.Scaled(1.25);
   }
   // Its tasks start next: it has waited past the age limit, or would else miss an aim.
-  bool Aged(Micros now, Micros limit) const {
-    if (now - arrived > limit) return true;
-    for (const auto& [from, until] : last_starts) {
+  bool IsAged(Micros now, Micros limit) const {
+    if (now - submitted_at > limit) return true;
+    for (const auto& [from, until] : objective_windows) {
       if (now > from && now < until) return true;
     }
     return false;
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -17,7 +17,7 @@
 
 struct Objective {
   std::string kind;
-  std::string lane;
+  std::string job_class;
   Micros within;
   double share = 0;
 };
@@ -27,7 +27,7 @@
   std::string member;
   std::string site;
   std::string client_listen;
-  std::string back;
+  std::string peer_listen;
   struct Member {
     std::string name;
     std::string addr;
@@ -38,7 +38,7 @@
   std::vector<std::string> zones;
   std::vector<Team> teams;
   std::vector<Objective> objectives;
-  Micros report_every, worker_lease, gang_wait, gang_peer, cancel_within;
+  Micros heartbeat_interval, agent_lease, gang_start_timeout, gang_failure_timeout, cancel_deadline;
   double state_rps = 100, state_write_rps = 10, state_value_kb = 8;
   int state_txn_ops = 8;
   double cloud_rps = 5;
@@ -57,10 +57,10 @@
 // other; empty: this cell is alone.
 struct CellSite {
   std::string name;
-  std::vector<std::string> backs;  // addresses of its controllers
-  bool founding = true;            // had its part of the rights from the beginning
-  bool drains = false;             // takes no rights, gives all that it does not use
-  std::string heir;                // not empty: gone for good, and its rights are that cell's
+  std::vector<std::string> addresses;  // addresses of its controllers
+  bool initial_member = true;          // had its part of the rights from the beginning
+  bool draining = false;               // takes no rights, gives all that it does not use
+  std::string successor;               // not empty: gone for good, and its rights are that cell's
 };
 struct CellsPlan {
   std::string self;
--- a/src/core/model/types.h
+++ b/src/core/model/types.h
@@ -37,28 +37,28 @@
   }
 };
 
-enum class Shape { kArray, kGang, kService };
-enum class Rank { kProduction, kHigh, kNormal, kIdle };
+enum class JobKind { kArray, kGang, kService };
+enum class Priority { kProduction, kHigh, kNormal, kIdle };
 
 struct JobSpec {
   std::string id;
-  std::string lane;
+  std::string job_class;
   std::string team;
-  Shape shape = Shape::kArray;
-  Rank rank = Rank::kNormal;
+  JobKind kind = JobKind::kArray;
+  Priority priority = Priority::kNormal;
   int tasks = 1;
   Resources need;
   std::string image;
   double image_gb = 0;
-  std::optional<std::vector<std::string>> types;
+  std::optional<std::vector<std::string>> machine_types;
   std::optional<std::string> zone;
   bool same_zone = false;
   bool spread = false;
-  bool spot_ok = false;
-  Micros estimate;
-  Micros checkpoint_every;
-  Micros save_time;
-  std::optional<Micros> due;
+  bool allow_spot = false;
+  Micros estimated_runtime;
+  Micros checkpoint_interval;
+  Micros checkpoint_duration;
+  std::optional<Micros> deadline;
   int64_t submitted_ms = 0;  // time of day, for ages across restarts
   bool operator==(const JobSpec&) const = default;
 };
@@ -80,21 +80,21 @@
   uint64_t term = 0;
   std::string leader;
 };
-struct LeadRecord {
+struct LeaderRecord {
   std::string leader;
   uint64_t term = 0;
 };
-struct EndRecord {
-  bool withdrawn = false;
+struct JobEndRecord {
+  bool cancelled = false;
   int tasks = 0;
 };
-struct ProgressPiece {
+struct ProgressChunk {
   std::string job;
   int chunk = 0;
   std::string bits;  // which tasks of the chunk are done, one hex digit for four
 };
 struct ProgressPage {
-  std::vector<ProgressPiece> pieces;
+  std::vector<ProgressChunk> chunks;
 };
 struct MachineRecord {
   std::string id;
@@ -110,19 +110,19 @@
   int count = 0;
 };
 using Record =
-    std::variant<std::monostate, TermRecord, LeadRecord, JobSpec, EndRecord, ProgressPage,
+    std::variant<std::monostate, TermRecord, LeaderRecord, JobSpec, JobEndRecord, ProgressPage,
                  FleetPage, MachineType, TypeCountRecord, limits::EscrowRecord>;
 
 namespace keys {
 inline const std::string kControl = "ctl/";
-inline const std::string kLead = "ctl/lead";
+inline const std::string kLeader = "ctl/lead";
 inline const std::string kTerm = "ctl/term";
-inline const std::string kNext =
+inline const std::string kSuccessor =
     "ctl/next";  // whom the last leader named when it gave up its place
 inline const std::string kTypes = "ctl/types";
 inline const std::string kType = "ctl/type/";
 inline const std::string kJob = "job/";
-inline const std::string kEnd = "end/";
+inline const std::string kJobEnd = "end/";
 inline const std::string kProgress = "prog/";
 inline const std::string kFleet = "fleet/";
 inline const std::string kLimits = "limits/";
--- a/src/core/placement/arrival_forecast.cpp
+++ b/src/core/placement/arrival_forecast.cpp
@@ -40,15 +40,15 @@
 }
 
 void Autoscaler::ArrayArrived(const JobSpec& spec, Micros arrived, Micros now) {
-  stream_.Add(static_cast<double>(spec.need.cpu) * spec.tasks * spec.estimate.ToSeconds(), arrived,
-              now);
+  stream_.Add(static_cast<double>(spec.need.cpu) * spec.tasks * spec.estimated_runtime.ToSeconds(),
+              arrived, now);
 }
 
 void Autoscaler::Arrived(const JobSpec& spec, Micros slack, Micros boot, Micros arrived,
                          Micros now) {
-  if (spec.shape != Shape::kArray || slack > boot.Scaled(1.5)) return;
-  urgent_.Add(static_cast<double>(spec.need.cpu) * spec.tasks, spec.estimate.ToSeconds(), arrived,
-              now);
+  if (spec.kind != JobKind::kArray || slack > boot.Scaled(1.5)) return;
+  urgent_.Add(static_cast<double>(spec.need.cpu) * spec.tasks, spec.estimated_runtime.ToSeconds(),
+              arrived, now);
 }
 
 void Autoscaler::Crowd::Fade(Micros now) {
@@ -85,7 +85,7 @@
 }
 
 void Autoscaler::NoteGang(const JobSpec& spec, Micros now) {
-  GangNeed& need = gang_needs_[spec.lane];
+  GangNeed& need = gang_needs_[spec.job_class];
   need.spec = spec;
   need.last = now;
   while (!need.arrivals.empty() && now - need.arrivals.front().first > kArrivalsKept) {
@@ -94,7 +94,7 @@
 }
 
 void Autoscaler::GangArrived(const JobSpec& spec, Micros at) {
-  gang_needs_[spec.lane].arrivals.emplace_back(at, spec.tasks);
+  gang_needs_[spec.job_class].arrivals.emplace_back(at, spec.tasks);
 }
 
 int Autoscaler::SpareMembers(const GangNeed& need, Micros boot, Micros now) const {
--- a/src/core/placement/autoscale.cpp
+++ b/src/core/placement/autoscale.cpp
@@ -24,18 +24,18 @@
 };
 
 bool Usable(const Machine& m) {
-  return m.type && m.stage != MachineStage::kReturning && !m.gone_at;
+  return m.type && m.stage != MachineStage::kTerminating && !m.preemption_at;
 }
 
 }  // namespace
 
 Micros Autoscaler::Allowance(const JobSpec& spec, const std::vector<Objective>& objectives,
                              double share) const {
-  if (spec.due) return *spec.due;
+  if (spec.deadline) return *spec.deadline;
   for (const Objective& o : objectives) {
-    if (o.lane == spec.lane && o.kind == "finished") return o.within.Scaled(share);
+    if (o.job_class == spec.job_class && o.kind == "finished") return o.within.Scaled(share);
   }
-  return options_.drain_target + spec.estimate;
+  return options_.drain_target + spec.estimated_runtime;
 }
 
 // How long the job's work may take from now on: until the first of its lane's aims, or its
@@ -45,20 +45,20 @@
   const JobSpec& s = job.spec;
   Micros best = kNever;
   const auto consider = [&](Micros within) {
-    const Micros left = job.arrived + within - view.now;
-    if (left >= s.estimate + boot) best = std::min(best, left);
+    const Micros left = job.submitted_at + within - view.now;
+    if (left >= s.estimated_runtime + boot) best = std::min(best, left);
   };
   // A deadline that can't be met any more leaves the lane's aims, which can.
-  if (s.due) consider(*s.due);
+  if (s.deadline) consider(*s.deadline);
   for (const Objective& o : *view.objectives) {
-    if (o.lane != s.lane) continue;
-    if (o.kind == "wait") consider(o.within + s.estimate);
+    if (o.job_class != s.job_class) continue;
+    if (o.kind == "wait") consider(o.within + s.estimated_runtime);
     if (o.kind == "finished") {
       consider(o.within.Scaled(options_.drain_share));
       consider(o.within);
     }
   }
-  return best < kNever ? best : boot + options_.drain_target + s.estimate;
+  return best < kNever ? best : boot + options_.drain_target + s.estimated_runtime;
 }
 
 bool Autoscaler::ForGangs(const MachineType& type, const std::string& zone, bool spot,
@@ -76,9 +76,9 @@
 
 bool Autoscaler::MayBeCleared(const JobSpec& spec, const MachineType& type, const std::string& zone,
                               bool spot, Micros now) const {
-  if (spec.checkpoint_every.count > 0) return false;
+  if (spec.checkpoint_interval.count > 0) return false;
   for (const auto& [lane, need] : gang_needs_) {
-    if (now - need.last <= kArrivalsKept && need.spec.rank < spec.rank &&
+    if (now - need.last <= kArrivalsKept && need.spec.priority < spec.priority &&
         Allows(need.spec, type, zone, spot)) {
       return true;
     }
@@ -118,24 +118,25 @@
 
 void Autoscaler::PlanGangs(const ScaleView& view, ScalePlan* plan) {
   std::vector<Room> rooms;
-  Rank highest = Rank::kIdle;
+  Priority highest = Priority::kIdle;
   for (const Job* job : view.jobs) {
-    if (job->gang() && job->gang_attempt == 0) highest = std::min(highest, job->spec.rank);
+    if (job->IsGang() && job->gang_attempt == 0) highest = std::min(highest, job->spec.priority);
   }
   for (const auto& [lane, need] : gang_needs_) {
-    if (!need.arrivals.empty()) highest = std::min(highest, need.spec.rank);
+    if (!need.arrivals.empty()) highest = std::min(highest, need.spec.priority);
   }
   for (Machine* m : view.machines) {
     if (!Usable(*m)) continue;
     Resources used;
-    for (const auto& [key, o] : m->occupants) {
+    for (const auto& [key, o] : m->allocations) {
       if (o.exited()) continue;
       // What a gang may push aside is as good as free.
-      if (o.job && !o.job->gang() && o.job->spec.rank > highest) continue;
+      if (o.job && !o.job->IsGang() && o.job->spec.priority > highest) continue;
       // What is about to end frees its room before a new machine would be up.
-      if (o.job && o.job->gang() && o.state == RunState::kRunning) {
+      if (o.job && o.job->IsGang() && o.phase == TaskPhase::kRunning) {
         const Micros ran = view.now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at;
-        if (ran > o.job->spec.estimate.Scaled(0.8) && ran < o.job->spec.estimate.Scaled(1.3)) {
+        if (ran > o.job->spec.estimated_runtime.Scaled(0.8) &&
+            ran < o.job->spec.estimated_runtime.Scaled(1.3)) {
           continue;
         }
       }
@@ -153,7 +154,7 @@
     for (Room& room : rooms) {
       if (!Allows(spec, *room.type, room.zone, room.spot) || !spec.need.Fits(room.free)) continue;
       room.free = room.free - spec.need;
-      if (room.machine && room.machine->retiring) plan->unretire.push_back(room.machine);
+      if (room.machine && room.machine->draining) plan->unretire.push_back(room.machine);
       if (room.machine) plan->keep.insert(room.machine);
       return;
     }
@@ -168,20 +169,20 @@
     rooms.push_back({nullptr, &t, best->zone, best->spot, t.size - spec.need});
   };
   // What a team's limit does not let start needs no machine.
-  std::map<std::pair<int, Rank>, int64_t> taken;
+  std::map<std::pair<int, Priority>, int64_t> taken;
   const auto within_limit = [&](int team, const JobSpec& spec, int members) {
     if (!view.gang_room) return true;
-    int64_t& sum = taken[{team, spec.rank}];
+    int64_t& sum = taken[{team, spec.priority}];
     const int64_t cpu = spec.need.cpu * members;
-    if (cpu > view.gang_room(team, spec.rank) - sum) return false;
+    if (cpu > view.gang_room(team, spec.priority) - sum) return false;
     sum += cpu;
     return true;
   };
   for (const Job* job : view.jobs) {
-    if (!job->gang() || job->gang_attempt != 0 || job->finishing || job->AtFault()) continue;
-    if (!within_limit(job->team, job->spec, job->left())) continue;
-    for (int i = 0; i < job->left(); ++i) provide(job->spec);
-    waiting += job->left();
+    if (!job->IsGang() || job->gang_attempt != 0 || job->finishing || job->IsFaulty()) continue;
+    if (!within_limit(job->team, job->spec, job->remaining())) continue;
+    for (int i = 0; i < job->remaining(); ++i) provide(job->spec);
+    waiting += job->remaining();
   }
   // A gang's wait is counted in less than a boot takes, so the room for the next ones is there
   // before they are; meanwhile arrays use it and make way.
@@ -212,20 +213,20 @@
   Micros quickest = kNever;
   for (const auto& [name, type] : *view.types) quickest = std::min(quickest, type.boot);
   for (const Job* job : view.jobs) {
-    if (job->gang() || job->finishing) continue;
+    if (job->IsGang() || job->finishing) continue;
     const JobSpec& s = job->spec;
-    const int open = job->wanted() - job->placed;
-    if (!typical || job->wanted() > typical->wanted()) typical = job;
+    const int open = job->WantedTasks() - job->placed;
+    if (!typical || job->WantedTasks() > typical->WantedTasks()) typical = job;
     running += static_cast<double>(job->placed) * static_cast<double>(s.need.cpu);
-    if (job->service()) {
-      replicas += static_cast<double>(job->left()) * static_cast<double>(s.need.cpu);
+    if (job->IsService()) {
+      replicas += static_cast<double>(job->remaining()) * static_cast<double>(s.need.cpu);
       continue;
     }
-    const double est = std::max(1.0, s.estimate.ToSeconds());
+    const double est = std::max(1.0, s.estimated_runtime.ToSeconds());
     const double work = (open + 0.5 * job->placed) * est * static_cast<double>(s.need.cpu);
     waiting_work += open * est * static_cast<double>(s.need.cpu);
-    wishes.push_back({TimeLeft(view, *job, quickest), s.estimate, work});
-    wide[job->team] += static_cast<double>(job->wanted()) * static_cast<double>(s.need.cpu);
+    wishes.push_back({TimeLeft(view, *job, quickest), s.estimated_runtime, work});
+    wide[job->team] += static_cast<double>(job->WantedTasks()) * static_cast<double>(s.need.cpu);
   }
   // More than its limit a team never has at once, however much of its work waits.
   double most = std::numeric_limits<double>::max();
@@ -269,7 +270,7 @@
   };
   std::vector<Coming> coming;
   for (Machine* m : view.machines) {
-    if (!Usable(*m) || m->retiring) continue;
+    if (!Usable(*m) || m->draining) continue;
     const double c = capacity_of(*m);
     const bool is_cheap = cheap({m->type_name, m->zone, m->spot}, c);
     have += c;
@@ -339,7 +340,7 @@
     // Machines on their way back are the cheapest to get.
     for (Machine* m : view.machines) {
       if (soon <= 0) break;
-      if (!m->retiring || !Usable(*m)) continue;
+      if (!m->draining || !Usable(*m)) continue;
       plan->unretire.push_back(m);
       const double c = capacity_of(*m);
       have += c;
@@ -382,11 +383,11 @@
   // The measure above speaks of the job with most left. One that no machine at hand can hold gets
   // a machine of its own.
   for (const Job* job : view.jobs) {
-    if (job->gang() || job->finishing || job->wanted() == job->placed) continue;
+    if (job->IsGang() || job->finishing || job->WantedTasks() == job->placed) continue;
     bool held = !plan->rent.empty();
     for (Machine* m : view.machines) {
       if (held) break;
-      held = Usable(*m) && !m->retiring && Allows(job->spec, *m->type, m->zone, m->spot);
+      held = Usable(*m) && !m->draining && Allows(job->spec, *m->type, m->zone, m->spot);
     }
     for (const auto& [offer, count] : view.pending) {
       held |= Allows(job->spec, view.types->at(offer.type), offer.zone, offer.spot);
@@ -418,33 +419,33 @@
   std::vector<Spare> spares;
   int surplus = -options_.keep_machines;  // what may go, idle or not
   for (const Machine* m : view.machines) {
-    surplus += Usable(*m) && m->stage == MachineStage::kUp && !m->retiring;
+    surplus += Usable(*m) && m->stage == MachineStage::kUp && !m->draining;
   }
   for (Machine* m : view.machines) {
     if (!Usable(*m) || m->stage != MachineStage::kUp || plan->keep.count(m)) continue;
     const bool for_gangs = ForGangs(*m->type, m->zone, m->spot, view.now);
     const Micros gang_limit = m->type->boot.Scaled(options_.gang_idle_boots);
-    const bool gang_lately = for_gangs && view.now - m->gang_at < gang_limit;
+    const bool gang_lately = for_gangs && view.now - m->last_gang_at < gang_limit;
     const Micros held = view.now - m->rented_at;
     if (m->idle_since.count >= 0) {
-      const Micros limit = m->retiring ? Seconds(0) : m->type->boot.Scaled(options_.idle_boots);
+      const Micros limit = m->draining ? Seconds(0) : m->type->boot.Scaled(options_.idle_boots);
       const double c = capacity_of(*m);
-      const bool is_cheap = !m->retiring && cheap({m->type_name, m->zone, m->spot}, c);
+      const bool is_cheap = !m->draining && cheap({m->type_name, m->zone, m->spot}, c);
       // Given back by idleness alone, the cheap ones went and the dear ones, rented later, stayed.
       if (is_cheap && cheap_have - c < ready) continue;
-      if (!m->retiring && surplus <= 0) continue;
+      if (!m->draining && surplus <= 0) continue;
       if (!gang_lately && view.now - m->idle_since >= limit && held >= kMinimumPaid) {
         plan->give_back.push_back(m);
-        surplus -= !m->retiring;
+        surplus -= !m->draining;
         if (is_cheap) cheap_have -= c;
         continue;
       }
     }
-    if (m->retiring || gang_lately || held < kMinimumPaid) continue;
+    if (m->draining || gang_lately || held < kMinimumPaid) continue;
     const double cap = capacity_of(*m);
     if (cap <= 0) continue;
     const double price = Price(view, {m->type_name, m->zone, m->spot}) / cap;
-    spares.push_back({m, price, cap, m->occupants.size()});
+    spares.push_back({m, price, cap, m->allocations.size()});
   }
   if (view.now - view.reign_began <= Seconds(20)) return;
   // The dearest first, and of those what will be empty soonest.
--- a/src/core/placement/autoscale.h
+++ b/src/core/placement/autoscale.h
@@ -44,7 +44,7 @@
   // By team's number: CPU that it may use at once, and that its gangs of the rank may still take;
   // INT64_MAX: no limit.
   std::function<int64_t(int)> limit;
-  std::function<int64_t(int, Rank)> gang_room;
+  std::function<int64_t(int, Priority)> gang_room;
   std::function<int(const std::string&)> team_of;
   int64_t all_limits = INT64_MAX;  // of all teams together, where each has one
 };
--- a/src/core/placement/guardrails.cpp
+++ b/src/core/placement/guardrails.cpp
@@ -6,15 +6,15 @@
 namespace badgershore {
 
 int BucketOf(const JobSpec& spec, double width) {
-  if (spec.shape == Shape::kService) return kBuckets - 1;
-  const double s = std::max(spec.estimate.ToSeconds(), 0.001);
+  if (spec.kind == JobKind::kService) return kBuckets - 1;
+  const double s = std::max(spec.estimated_runtime.ToSeconds(), 0.001);
   const int k = static_cast<int>(std::floor(std::log(s) / std::log(width))) + 16;
   return std::clamp(k, 0, kBuckets - 2);
 }
 
 double WorkOn(const JobSpec& spec, const Resources& open) {
   const auto places = static_cast<double>(std::max<int64_t>(1, open.Holds(spec.need)));
-  return std::max(spec.estimate.ToSeconds(), 0.1) / places;
+  return std::max(spec.estimated_runtime.ToSeconds(), 0.1) / places;
 }
 
 LeastReceived::LeastReceived(const Job& job, const std::vector<Able>& able)
@@ -23,7 +23,7 @@
   turns_.reserve(able.size());
   for (size_t i = 0; i < able.size(); ++i) {
     const double each = WorkOn(job.spec, able[i].open);
-    turns_.push_back({able[i].machine->work[bucket] + each,
+    turns_.push_back({able[i].machine->dispatched_work[bucket] + each,
                       !able[i].machine->HasImage(job.spec.image), i, each});
   }
   std::make_heap(turns_.begin(), turns_.end(), std::greater<>());
@@ -51,12 +51,12 @@
 }
 
 void LevelCounters(Machine* machine, const std::vector<Machine*>& peers) {
-  machine->work.assign(kBuckets, 0.0);
+  machine->dispatched_work.assign(kBuckets, 0.0);
   if (peers.empty()) return;
   for (size_t b = 0; b < kBuckets; ++b) {
     double sum = 0;
-    for (const Machine* p : peers) sum += p->work[b];
-    machine->work[b] = sum / static_cast<double>(peers.size());
+    for (const Machine* p : peers) sum += p->dispatched_work[b];
+    machine->dispatched_work[b] = sum / static_cast<double>(peers.size());
   }
 }
 
--- a/src/limits/escrow.cpp
+++ b/src/limits/escrow.cpp
@@ -285,7 +285,7 @@
 
 // ---- Notes ----
 
-bool Escrow::OnNote(const CellNote& note, int64_t now_ms) {
+bool Escrow::OnNote(const CellMessage& note, int64_t now_ms) {
   if (!loaded_ || note.to != settings_.self || note.from == settings_.self || !Live(note.from)) {
     return false;
   }
@@ -322,7 +322,7 @@
 }
 
 // The other has what was under way to it.
-void Escrow::Settle(const CellNote& note) {
+void Escrow::Settle(const CellMessage& note) {
   Account& account = next_.accounts[note.from];
   if (note.taken == account.sent && !account.under_way.empty() &&
       durable_.accounts[note.from].sent == account.sent) {
@@ -330,7 +330,7 @@
   }
 }
 
-void Escrow::TakeFrom(const CellNote& note) {
+void Escrow::TakeFrom(const CellMessage& note) {
   Account& account = next_.accounts[note.from];
   if (account.closed || note.under_way.empty() || note.sent != account.taken + 1) return;
   for (const auto& [team, four] : note.under_way) {
@@ -344,12 +344,12 @@
   account.taken = note.sent;
 }
 
-std::vector<CellNote> Escrow::Notes() const {
-  std::vector<CellNote> out;
+std::vector<CellMessage> Escrow::Notes() const {
+  std::vector<CellMessage> out;
   if (!loaded_) return out;
   for (const Cell& c : settings_.cells) {
     if (c.name == settings_.self || !c.heir.empty()) continue;
-    CellNote note;
+    CellMessage note;
     note.from = settings_.self;
     note.to = c.name;
     note.nonce = nonce_;
@@ -542,7 +542,7 @@
   return out;
 }
 
-std::string Show(const CellNote& n) {
+std::string Show(const CellMessage& n) {
   std::string out = n.from + '>' + n.to + ' ' + std::to_string(n.term) + ' ' +
                     std::to_string(n.nonce) + '~' + std::to_string(n.echo) + ' ' +
                     std::to_string(n.sent) + '/' + std::to_string(n.taken) + ' ';
--- a/src/limits/escrow.h
+++ b/src/limits/escrow.h
@@ -46,7 +46,7 @@
 };
 
 std::string Show(const EscrowRecord& record);
-std::string Show(const CellNote& note);
+std::string Show(const CellMessage& note);
 
 class Escrow {
  public:
@@ -60,7 +60,7 @@
   bool loaded() const { return loaded_; }
   void SetNeed(const std::string& team, const Need& need);
   // What another cell's leader says. False: from a cell that is not named, or not for this one.
-  bool OnNote(const CellNote& note, int64_t now_ms);
+  bool OnNote(const CellMessage& note, int64_t now_ms);
   // Decides what to hand over.
   void Tick(int64_t now_ms);
 
@@ -71,7 +71,7 @@
   // Surely not written: it may be put together anew.
   void NotWritten();
   // To every cell that is not gone; only what is durable is in them.
-  std::vector<CellNote> Notes() const;
+  std::vector<CellMessage> Notes() const;
 
   // Thousandths that may be used at once; kUnlimited where there is no limit.
   int64_t Usable(const std::string& team, Kind kind) const;
@@ -85,7 +85,7 @@
  private:
   struct Peer {
     bool heard = false;  // in answer to this reading of the record
-    CellNote note;
+    CellMessage note;
   };
   const Cell* Find(const std::string& name) const;
   bool Live(const std::string& cell) const;
@@ -103,8 +103,8 @@
   int64_t Owed(const std::string& team, Kind kind, const std::string& cell) const;
   int64_t Gives(const std::string& team, Kind kind, const std::string& cell, int64_t left) const;
   void Give(const std::string& cell, int64_t now_ms);
-  void TakeFrom(const CellNote& note);
-  void Settle(const CellNote& note);
+  void TakeFrom(const CellMessage& note);
+  void Settle(const CellMessage& note);
   void CloseGone();
   void Inherit();
   void Agree();
--- a/src/limits/rights.h
+++ b/src/limits/rights.h
@@ -55,7 +55,7 @@
   bool operator==(const Want&) const = default;
 };
 
-struct CellNote {
+struct CellMessage {
   std::string from, to;  // cells
   std::string node;      // the leader that says this
   uint64_t term = 0;
@@ -66,7 +66,7 @@
   Amounts held, whole;           // whole: by its own settings
   std::map<std::string, Want> wants;      // by team
   std::map<std::string, Amounts> closed;  // cells that are gone: its net with each
-  bool operator==(const CellNote&) const = default;
+  bool operator==(const CellMessage&) const = default;
 };
 
 }  // namespace badgershore::limits
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -12,7 +12,7 @@
 Link::Link(io::Loop* loop, const PlatformSettings& settings, OnNote on_note, OnCell on_cell,
            OnMember on_member)
     : loop_(loop),
-      listen_(settings.back),
+      listen_(settings.peer_listen),
       on_note_(std::move(on_note)),
       on_cell_(std::move(on_cell)),
       on_member_(std::move(on_member)) {
@@ -31,7 +31,7 @@
   return true;
 }
 
-void Link::Send(const PeerNote& note) {
+void Link::Send(const PeerStatus& note) {
   const std::string frame = Encode(note);
   if (frame.size() > kMostBytes) return;
   for (auto& peer : peers_) {
@@ -50,10 +50,10 @@
   }
 }
 
-void Link::Send(const CellSend& send) {
-  const std::string frame = Encode(send.note);
+void Link::Send(const CellDelivery& send) {
+  const std::string frame = Encode(send.message);
   if (frame.size() > kMostBytes) return;
-  for (const std::string& addr : send.to) {
+  for (const std::string& addr : send.addresses) {
     auto [it, fresh] = cells_.try_emplace(addr);
     if (fresh) {
       it->second = std::make_unique<Outgoing>();
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -15,16 +15,16 @@
 
 class Link {
  public:
-  using OnNote = std::function<void(PeerNote)>;
+  using OnNote = std::function<void(PeerStatus)>;
   using OnMember = std::function<void(membership::Message)>;
-  using OnCell = std::function<void(limits::CellNote)>;
+  using OnCell = std::function<void(limits::CellMessage)>;
   Link(io::Loop* loop, const PlatformSettings& settings, OnNote on_note, OnCell on_cell,
        OnMember on_member);
   bool Start(std::string* error);
-  void Send(const PeerNote& note);
+  void Send(const PeerStatus& note);
   void Send(const membership::Message& message);
   // To controllers of another cell.
-  void Send(const CellSend& send);
+  void Send(const CellDelivery& send);
 
  private:
   // A note is news only until the next one; a peer that lags gets the latest.
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -10,13 +10,13 @@
 namespace badgershore {
 
 template <class Archive>
-void serialize(Archive& ar, JobDigest& d) {
+void serialize(Archive& ar, JobStatus& d) {
   ar(d.job, d.done, d.running);
 }
 
 template <class Archive>
-void serialize(Archive& ar, PeerNote& n) {
-  ar(n.from, n.term, n.leader, n.state_ok, n.jobs);
+void serialize(Archive& ar, PeerStatus& n) {
+  ar(n.from, n.term, n.leader, n.state_service_reachable, n.job_statuses);
 }
 
 namespace limits {
@@ -27,7 +27,7 @@
 }
 
 template <class Archive>
-void serialize(Archive& ar, CellNote& n) {
+void serialize(Archive& ar, CellMessage& n) {
   ar(n.from, n.to, n.node, n.term, n.nonce, n.echo, n.sent, n.taken, n.under_way, n.held, n.whole,
      n.wants, n.closed);
 }
@@ -85,41 +85,41 @@
 
 }  // namespace
 
-std::string Encode(const limits::CellNote& note) { return Packed(note, kCellMark); }
-std::optional<limits::CellNote> DecodeCell(std::string_view body) {
-  return Unpacked<limits::CellNote>(body);
+std::string Encode(const limits::CellMessage& note) { return Packed(note, kCellMark); }
+std::optional<limits::CellMessage> DecodeCell(std::string_view body) {
+  return Unpacked<limits::CellMessage>(body);
 }
 std::string Encode(const membership::Message& message) { return Packed(message, kMemberMark); }
 std::optional<membership::Message> DecodeMember(std::string_view body) {
   return Unpacked<membership::Message>(body);
 }
 
-std::string Encode(const PeerNote& note) {
+std::string Encode(const PeerStatus& note) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive ar(out);
     // What came with later versions stands at the end: an earlier one doesn't read it.
-    ar(note, note.hears_workers, note.calls_off, note.called_off);
+    ar(note, note.receives_heartbeats, note.cancelling, note.cancelled);
   }
   return Framed(out.str(), 0);
 }
 
-std::optional<PeerNote> Decode(std::string_view body) {
+std::optional<PeerStatus> Decode(std::string_view body) {
   std::istringstream in{std::string(body)};
-  PeerNote note;
+  PeerStatus note;
   int parts = 0;  // one for each version that added something
   try {
     cereal::PortableBinaryInputArchive ar(in);
     ar(note);
     ++parts;
-    ar(note.hears_workers);
+    ar(note.receives_heartbeats);
     ++parts;
-    ar(note.calls_off, note.called_off);
+    ar(note.cancelling, note.cancelled);
   } catch (const std::exception&) {
     if (parts == 0) return std::nullopt;
-    if (parts == 1) note.hears_workers = false;
-    note.calls_off.clear();
-    note.called_off.clear();
+    if (parts == 1) note.receives_heartbeats = false;
+    note.cancelling.clear();
+    note.cancelled.clear();
   }
   return note;
 }
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -11,11 +11,11 @@
 
 constexpr size_t kMostBytes = 256 * 1024;
 
-std::string Encode(const PeerNote& note);  // with its length in front
-std::optional<PeerNote> Decode(std::string_view body);
+std::string Encode(const PeerStatus& note);  // with its length in front
+std::optional<PeerStatus> Decode(std::string_view body);
 // What a cell's leader tells another cell's; its frame is marked.
-std::string Encode(const limits::CellNote& note);
-std::optional<limits::CellNote> DecodeCell(std::string_view body);
+std::string Encode(const limits::CellMessage& note);
+std::optional<limits::CellMessage> DecodeCell(std::string_view body);
 // Probes among controllers of a cell; marked, too.
 std::string Encode(const membership::Message& message);
 std::optional<membership::Message> DecodeMember(std::string_view body);
--- a/src/programs/controller.cpp
+++ b/src/programs/controller.cpp
@@ -35,7 +35,7 @@
     if (cells_file.empty() && ::access("deploy/cells.yaml", R_OK) == 0) {
       cells_file = "deploy/cells.yaml";
     }
-    if (!cells_file.empty()) options.cells = config::LoadCells(cells_file, settings.back);
+    if (!cells_file.empty()) options.cells = config::LoadCells(cells_file, settings.peer_listen);
   } catch (const config::Error& e) {
     std::fprintf(stderr, "badgershore: %s\n", e.what());
     return 2;
--- a/src/rehearsal/machines.cpp
+++ b/src/rehearsal/machines.cpp
@@ -16,9 +16,9 @@
     w.fetch_gb_per_s = t.type.fetch_gb_per_s * (0.7 + 0.6 * Chance());
   }
   for (size_t i = 0; i < nodes_.size(); ++i) s.controllers.push_back(NodeName(i));
-  s.report_every = scenario_.site.report_every;
-  s.lease = scenario_.site.worker_lease;
-  s.gang_wait = scenario_.site.gang_wait;
+  s.report_every = scenario_.site.heartbeat_interval;
+  s.lease = scenario_.site.agent_lease;
+  s.gang_wait = scenario_.site.gang_start_timeout;
   w.agent = std::make_unique<agent::Agent>(s, clock_.random(), now_);
   Event e;
   e.kind = Event::Kind::kMachineUp;
@@ -92,8 +92,8 @@
     };
   };
   if (w.hung_until > now_) return;
-  using Kind = agent::Command::Kind;
-  for (agent::Command& c : w.agent->Take()) {
+  using Kind = agent::Action::Kind;
+  for (agent::Action& c : w.agent->Take()) {
     switch (c.kind) {
       case Kind::kReport: {
         wire::Call call{"POST", "/checkin", wire::FormatReport(c.report), Seconds(4)};
@@ -102,7 +102,7 @@
             [this, alive, report = c.report_id, to = c.controller](int status,
                                                                    const std::string& body) {
               if (status == 200) seen_leader_ = static_cast<int>(to);
-              const CheckinAnswer a = wire::ParseCheckinAnswer(std::max(status, 0), body);
+              const HeartbeatResponse a = wire::ParseCheckinAnswer(std::max(status, 0), body);
               alive([this, report, a](agent::Agent* agent) { agent->OnAnswer(now_, report, a); })();
             });
         break;
@@ -110,7 +110,7 @@
       case Kind::kDescribe:
         if (outside_ && !work_.Find(c.text)) {  // not one of the scenario's: someone else's job
           outside_->Describe(c.text, [this, alive, job = c.text](std::optional<JobSpec> spec) {
-            if (spec && !work_.Find(job)) work_.AddJob(*spec, spec->estimate, 0);
+            if (spec && !work_.Find(job)) work_.AddJob(*spec, spec->estimated_runtime, 0);
             alive([this, job, spec](agent::Agent* agent) {
               agent->OnDescription(now_, job, spec);
             })();
@@ -182,9 +182,10 @@
     return Later(it->second.hung_until,
                  [this, machine, id, call] { ServeMachine(machine, id, call); });
   }
-  const std::optional<DirectOp> op = wire::ParseDirect(call.body);
+  const std::optional<CommandRequest> op = wire::ParseDirect(call.body);
   if (!op) return Respond(id, 400, "{}");
-  const int status = it->second.agent->OnDirect(now_, op->fencing_token, op->session, op->orders);
+  const int status =
+      it->second.agent->OnDirect(now_, op->fencing_token, op->agent_epoch, op->commands);
   Respond(id, status, wire::FormatReport(it->second.agent->Status()));
   PumpMachine(machine);
 }
--- a/src/rehearsal/network.cpp
+++ b/src/rehearsal/network.cpp
@@ -87,7 +87,7 @@
   }
   if (IsNode(to)) {
     const Micros again = call.target == "/checkin" && id != 0
-                             ? distortions_.CopyDelay(&clock_, scenario_.site.worker_lease)
+                             ? distortions_.CopyDelay(&clock_, scenario_.site.agent_lease)
                              : Micros{};
     if (again.count > 0) Later(now_ + again, [this, to, call] { Serve(0, to, call); });
     if (call.target == "/checkin" && id != 0 && distortions_.KeepsCopy(&clock_)) {
--- a/src/rehearsal/nodes.cpp
+++ b/src/rehearsal/nodes.cpp
@@ -16,7 +16,7 @@
   s.teams = teams_;
   s.member = NodeName(index);
   s.client_listen = s.member;
-  s.back = prefix_ + s.member;
+  s.peer_listen = prefix_ + s.member;
   for (size_t k = 0; k < nodes_.size(); ++k) {
     if (k != index) s.members.push_back({NodeName(k), NodeName(k)});
   }
@@ -90,14 +90,14 @@
   PumpNode(index);
 }
 
-void World::NodeState(size_t index, const StateOp& op) {
+void World::NodeState(size_t index, const StateRequest& op) {
   const RequestId id = op.id;
   wire::Call call = wire::FormatStateCall(op);
   Send(NodeName(index), kState, std::move(call),
        [this, index, id, op](int status, const std::string& body) {
-         StateReply r;
+         StateResponse r;
          if (status == kNotSent) {
-           r.outcome = StateReply::Outcome::kRefused;
+           r.outcome = StateResponse::Outcome::kRefused;
          } else if (status != kNoAnswer) {
            r = wire::ParseStateAnswer(op, status, body);
          }
@@ -122,10 +122,11 @@
     std::snprintf(at, sizeof(at), "%.6f ", now_.ToSeconds());
     stage_->result.log += at + name + " " + line.text + "\n";
   }
-  for (const CheckinAnswer& a : out.checkins)
-    answer(a.token, a.status, wire::FormatCheckinAnswer(a));
-  for (const UserAnswer& a : out.answers) answer(a.token, a.status, wire::FormatAnswer(a));
-  for (const PeerNote& note : out.notes) {
+  for (const HeartbeatResponse& a : out.heartbeat_responses)
+    answer(a.request_id, a.status, wire::FormatCheckinAnswer(a));
+  for (const ApiResponse& a : out.api_responses)
+    answer(a.request_id, a.status, wire::FormatAnswer(a));
+  for (const PeerStatus& note : out.peer_statuses) {
     for (size_t k = 0; k < nodes_.size(); ++k) {
       if (k == index) continue;
       Deliver(name, NodeName(k), false, [this, k, note] {
@@ -133,16 +134,17 @@
       });
     }
   }
-  for (const membership::Message& m : out.members) {
+  for (const membership::Message& m : out.membership_messages) {
     const size_t k = NodeIndex(m.to);
     Deliver(name, m.to, false, [this, k, m] {
       WhenAwake(k, [this, m](Controller* core) { core->OnMember(now_, m); });
     });
   }
-  for (const CellSend& send : out.cells) TellCell(index, send);
-  for (StateOp& op : out.state) {
-    const bool paced = op.kind != StateOp::Kind::kTouch && op.kind != StateOp::Kind::kGrant &&
-                       op.kind != StateOp::Kind::kRelease && op.kind != StateOp::Kind::kWatch;
+  for (const CellDelivery& send : out.cell_deliveries) TellCell(index, send);
+  for (StateRequest& op : out.state_requests) {
+    const bool paced =
+        op.kind != StateRequest::Kind::kRenewLease && op.kind != StateRequest::Kind::kGrantLease &&
+        op.kind != StateRequest::Kind::kRevokeLease && op.kind != StateRequest::Kind::kWatch;
     if (!paced || n.rate.Take(now_, 1)) {
       NodeState(index, op);
       continue;
@@ -155,8 +157,8 @@
       if (!node.core || node.life != life) return;
       if (node.rate.Take(now_, 1)) return NodeState(index, op);
       if (now_ - start > Seconds(1)) {
-        StateReply r;
-        r.outcome = StateReply::Outcome::kRefused;
+        StateResponse r;
+        r.outcome = StateResponse::Outcome::kRefused;
         node.core->OnState(now_, op.id, r);
         return PumpNode(index);
       }
@@ -164,12 +166,12 @@
     };
     Later(now_ + Millis(20), [attempt] { (*attempt)(); });
   }
-  for (const CloudOp& op : out.cloud) {
+  for (const CloudRequest& op : out.cloud_requests) {
     Send(name, kCloud, wire::FormatCloudCall(op),
          [this, index, op](int status, const std::string& body) {
-           CloudReply r;
+           CloudResponse r;
            if (status == kNotSent) {
-             r.outcome = CloudReply::Outcome::kBusy;
+             r.outcome = CloudResponse::Outcome::kThrottled;
            } else if (status != kNoAnswer) {
              r = wire::ParseCloudAnswer(op, status, body);
            }
@@ -177,13 +179,13 @@
            PumpNode(index);
          });
   }
-  for (const DirectOp& op : out.direct) {
+  for (const CommandRequest& op : out.command_requests) {
     wire::Call call{"POST", "/do", wire::FormatDirect(op), Seconds(3)};
     Send(name, op.endpoint, std::move(call),
          [this, index, id = op.id](int status, const std::string& body) {
-           DirectReply r;
+           CommandResponse r;
            r.status = std::max(status, 0);
-           if (status > 0) r.report = wire::ParseReport(body);
+           if (status > 0) r.heartbeat = wire::ParseReport(body);
            nodes_[index].core->OnDirect(now_, id, std::move(r));
            PumpNode(index);
          });
@@ -219,7 +221,7 @@
     CellSite site;
     site.name = scenario_.cells[i];
     for (size_t k = 0; k < nodes_.size(); ++k) {
-      site.backs.push_back((i == 0 ? "" : site.name + "/") + NodeName(k));
+      site.addresses.push_back((i == 0 ? "" : site.name + "/") + NodeName(k));
     }
     plan.cells.push_back(std::move(site));
   }
@@ -227,10 +229,10 @@
 }
 
 // What is said across a cut between cells is held back or lost, as on a link that stays open.
-void World::TellCell(size_t index, const CellSend& send) {
+void World::TellCell(size_t index, const CellDelivery& send) {
   (void)index;
   for (World* other : *all_) {
-    if (other->name_ != send.note.to) continue;
+    if (other->name_ != send.message.to) continue;
     Micros at = now_ + Between(0.005, 0.03);
     for (const Stage::CellCut& cut : stage_->cuts) {
       if (cut.until <= now_) continue;
@@ -241,9 +243,9 @@
       if (Chance() < 0.9) return;
       at = std::max(at, cut.until + Between(0.001, 2));
     }
-    for (const std::string& to : send.to) {
+    for (const std::string& to : send.addresses) {
       const size_t k = NodeIndex(to);
-      Later(at, [other, k, note = send.note] {
+      Later(at, [other, k, note = send.message] {
         other->WhenAwake(k, [other, note](Controller* core) { core->OnCell(other->now_, note); });
       });
     }
--- a/src/rehearsal/site.cpp
+++ b/src/rehearsal/site.cpp
@@ -59,12 +59,14 @@
   }
   w.EndList().Key("objectives").BeginList();
   for (const Objective& o : s.objectives) {
-    w.Begin().Put("kind", o.kind).Put("class", o.lane).Put("within_s", o.within.ToSeconds());
+    w.Begin().Put("kind", o.kind).Put("class", o.job_class).Put("within_s", o.within.ToSeconds());
     w.Put("share", o.share).End();
   }
-  w.EndList().Key("workers").Begin().Put("report_s", s.report_every.ToSeconds());
-  w.Put("lease_s", s.worker_lease.ToSeconds()).Put("gang_wait_s", s.gang_wait.ToSeconds());
-  w.Put("gang_peer_s", s.gang_peer.ToSeconds()).Put("cancel_s", s.cancel_within.ToSeconds()).End();
+  w.EndList().Key("workers").Begin().Put("report_s", s.heartbeat_interval.ToSeconds());
+  w.Put("lease_s", s.agent_lease.ToSeconds()).Put("gang_wait_s", s.gang_start_timeout.ToSeconds());
+  w.Put("gang_peer_s", s.gang_failure_timeout.ToSeconds())
+      .Put("cancel_s", s.cancel_deadline.ToSeconds())
+      .End();
   w.Key("state").Begin().Put("rps", s.state_rps).Put("write_rps", s.state_write_rps);
   w.Put("value_kb", s.state_value_kb).Put("txn_ops", s.state_txn_ops).End();
   w.Key("cloud").Begin().Put("rps", s.cloud_rps);
@@ -257,7 +259,7 @@
     ++(m.up < kNever ? out.up : out.starting);
   }
   http::Client client(loop_, states_[0], 0, kLimits);
-  for (const std::string& prefix : {keys::kJob, keys::kEnd}) {
+  for (const std::string& prefix : {keys::kJob, keys::kJobEnd}) {
     std::string target = "/store?limit=1000&starts=" + prefix;
     const http::ClientAnswer a = co_await client.Request("GET", std::move(target), "", Seconds(2));
     rapidjson::Document doc;
--- a/src/rehearsal/users.cpp
+++ b/src/rehearsal/users.cpp
@@ -13,16 +13,19 @@
   static const char* const kShapes[] = {"array", "gang", "daemon"};
   static const char* const kRanks[] = {"production", "high", "normal", "idle"};
   wire::Writer w;
-  w.Begin().Put("nameId", s.id).Put("lane", s.lane).Put("owner", s.team);
-  w.Put("shape", kShapes[static_cast<size_t>(s.shape)]);
-  w.Put("rank", kRanks[static_cast<size_t>(s.rank)]).Put("legs", s.tasks);
+  w.Begin().Put("nameId", s.id).Put("lane", s.job_class).Put("owner", s.team);
+  w.Put("shape", kShapes[static_cast<size_t>(s.kind)]);
+  w.Put("rank", kRanks[static_cast<size_t>(s.priority)]).Put("legs", s.tasks);
   w.Put("cpus", static_cast<double>(s.need.cpu) / 1000);
   w.Put("accelerators", static_cast<double>(s.need.gpu) / 1000);
   w.Put("memGb", static_cast<double>(s.need.mem) / 1000);
   w.Put("kit", s.image).Put("imageGb", s.image_gb).Put("samePlace", s.same_zone);
-  w.Put("spread", s.spread).Put("loaners", s.spot_ok).Put("expectS", s.estimate.ToSeconds());
-  w.Put("stashEveryS", s.checkpoint_every.ToSeconds()).Put("stashS", s.save_time.ToSeconds());
-  if (s.due) w.Put("dueS", s.due->ToSeconds());
+  w.Put("spread", s.spread)
+      .Put("loaners", s.allow_spot)
+      .Put("expectS", s.estimated_runtime.ToSeconds());
+  w.Put("stashEveryS", s.checkpoint_interval.ToSeconds())
+      .Put("stashS", s.checkpoint_duration.ToSeconds());
+  if (s.deadline) w.Put("dueS", s.deadline->ToSeconds());
   return w.End().Done();
 }
 
@@ -46,13 +49,15 @@
       spec.tasks =
           k.least_tasks +
           static_cast<int>(size() % static_cast<uint64_t>(k.most_tasks - k.least_tasks + 1));
-      spec.image = k.spec.lane + "-" + std::to_string(size() % static_cast<uint64_t>(k.images));
+      spec.image =
+          k.spec.job_class + "-" + std::to_string(size() % static_cast<uint64_t>(k.images));
       job.run = k.run.Scaled(0.5 + static_cast<double>(size() % 1000) / 1000);
       job.body = Body(spec);
-      job.lane = spec.lane;
+      job.lane = spec.job_class;
       job.left = spec.tasks;
-      job.facts = {spec.id, spec.team,      spec.lane,   spec.tasks,   spec.need.cpu, spec.need.gpu,
-                   "",      spec.same_zone, spec.spread, spec.spot_ok, false,         0};
+      job.facts = {spec.id,       spec.team, spec.job_class, spec.tasks,  spec.need.cpu,
+                   spec.need.gpu, "",        spec.same_zone, spec.spread, spec.allow_spot,
+                   false,         0};
       const double gap = k.per_minute > 0 ? 60 / k.per_minute : 0;
       const Micros at =
           k.from +
--- a/src/rehearsal/work.cpp
+++ b/src/rehearsal/work.cpp
@@ -3,7 +3,7 @@
 namespace badgershore::rehearsal {
 
 Micros Work::Checkpoint(const Job& job, Micros progress) const {
-  const int64_t every = job.spec.checkpoint_every.count;
+  const int64_t every = job.spec.checkpoint_interval.count;
   return {every > 0 ? progress.count / every * every : 0};
 }
 
@@ -16,14 +16,14 @@
 void Work::Launch(const std::string& machine, const TaskKey& task, bool sick) {
   Job& job = jobs_.at(task.ref.job);
   const Micros now = hooks_.now();
-  const auto exit = [this, machine, task](ExitCause cause) {
+  const auto exit = [this, machine, task](ExitReason cause) {
     return [this, machine, task, cause] { hooks_.exit(machine, task, cause, false); };
   };
   const bool fails = (task.ref.task * 7919 + 13) % 1000 < job.mistake * 1000;
-  if (sick || fails) return hooks_.later(now + Millis(300), exit(ExitCause::kError));
-  if (job.done.contains(task.ref.task)) return hooks_.later(now, exit(ExitCause::kDone));
+  if (sick || fails) return hooks_.later(now + Millis(300), exit(ExitReason::kError));
+  if (job.done.contains(task.ref.task)) return hooks_.later(now, exit(ExitReason::kDone));
   const double pace = 0.9 + 0.2 * Chance();
-  if (job.spec.shape != Shape::kGang) {
+  if (job.spec.kind != JobKind::kGang) {
     const uint64_t serial = ++serial_;
     job.running[task] = {machine, now, serial};
     const Micros left = job.run.Scaled(pace) - job.saved[task.ref.task];
@@ -32,7 +32,7 @@
       if (it == job.running.end() || it->second.serial != serial) return;
       job.running.erase(it);
       Finish(&job, task);
-      exit(ExitCause::kDone)();
+      exit(ExitReason::kDone)();
     });
   }
   Gang& gang = job.gangs[task.attempt];
@@ -55,7 +55,7 @@
     job.gangs.erase(it);
     for (const auto& [index, member] : gone.members) Finish(&job, {{job.spec.id, index}, attempt});
     for (const auto& [index, member] : gone.members) {
-      hooks_.exit(member.machine, {{job.spec.id, index}, attempt}, ExitCause::kDone, false);
+      hooks_.exit(member.machine, {{job.spec.id, index}, attempt}, ExitReason::kDone, false);
     }
   });
 }
@@ -66,13 +66,13 @@
   if (std::exchange(gang.broken, true) || !gang.running) return;
   const Micros progress = hooks_.now() - gang.since + job->saved[0];
   if (!gang.stopping) job->saved[0] = std::max(job->saved[0], Checkpoint(*job, progress));
-  const Micros by = hooks_.now() + scenario_.site.gang_peer.Scaled(0.2 + 0.7 * Chance());
+  const Micros by = hooks_.now() + scenario_.site.gang_failure_timeout.Scaled(0.2 + 0.7 * Chance());
   hooks_.later(by, [this, job, attempt] {
     const Gang gone = std::move(job->gangs[attempt]);
     job->gangs.erase(attempt);
     for (const auto& [index, member] : gone.members) {
       hooks_.exit(member.machine, {{job->spec.id, index}, attempt},
-                  member.saving ? ExitCause::kHalted : ExitCause::kPeers, false);
+                  member.saving ? ExitReason::kStopped : ExitReason::kGangMemberLost, false);
     }
   });
 }
@@ -98,19 +98,20 @@
   if (auto it = job.running.find(task); it != job.running.end()) {
     const Micros progress = now - it->second.since + job.saved[task.ref.task];
     const uint64_t serial = it->second.serial = ++serial_;  // it runs on no more
-    return hooks_.later(now + job.spec.save_time, [this, &job, machine, task, serial, progress] {
-      auto it = job.running.find(task);
-      if (it == job.running.end() || it->second.serial != serial) return;
-      job.running.erase(it);
-      job.saved[task.ref.task] = std::max(job.saved[task.ref.task], progress);
-      hooks_.exit(machine, task, ExitCause::kHalted, true);
-    });
+    return hooks_.later(now + job.spec.checkpoint_duration,
+                        [this, &job, machine, task, serial, progress] {
+                          auto it = job.running.find(task);
+                          if (it == job.running.end() || it->second.serial != serial) return;
+                          job.running.erase(it);
+                          job.saved[task.ref.task] = std::max(job.saved[task.ref.task], progress);
+                          hooks_.exit(machine, task, ExitReason::kStopped, true);
+                        });
   }
   auto it = job.gangs.find(task.attempt);
   if (it == job.gangs.end() || !it->second.members.contains(task.ref.task)) return;
   Gang& gang = it->second;
   gang.members[task.ref.task].saving = true;
-  gang.members[task.ref.task].saved_at = now + job.spec.save_time;
+  gang.members[task.ref.task].saved_at = now + job.spec.checkpoint_duration;
   if (gang.broken) return;
   const auto alive = [&job, attempt = task.attempt]() -> Gang* {
     auto g = job.gangs.find(attempt);
@@ -119,7 +120,7 @@
   if (!std::exchange(gang.stopping, true)) {
     // All must be told in time, or the save fails.
     const Micros progress = now - gang.since + job.saved[0];
-    hooks_.later(now + scenario_.site.gang_peer,
+    hooks_.later(now + scenario_.site.gang_failure_timeout,
                  [this, &job, alive, attempt = task.attempt, progress] {
                    Gang* g = alive();
                    if (!g) return;
@@ -143,7 +144,7 @@
     const Gang gone = std::move(*g);
     job.gangs.erase(attempt);
     for (const auto& [index, member] : gone.members) {
-      hooks_.exit(member.machine, {{job.spec.id, index}, attempt}, ExitCause::kHalted, true);
+      hooks_.exit(member.machine, {{job.spec.id, index}, attempt}, ExitReason::kStopped, true);
     }
   });
 }
--- a/src/rehearsal/work.h
+++ b/src/rehearsal/work.h
@@ -24,7 +24,7 @@
     std::function<void(Micros at, std::function<void()>)> later;
     // A machine's agent is told; false where the machine is gone.
     std::function<void(const std::string& machine, const TaskKey&)> gang_complete;
-    std::function<void(const std::string& machine, const TaskKey&, ExitCause, bool saved)> exit;
+    std::function<void(const std::string& machine, const TaskKey&, ExitReason, bool saved)> exit;
     std::function<void(const TaskKey&)> done;  // completed, before any exit is told
   };
   Work(const Scenario& scenario, uint64_t seed, Hooks hooks)
--- a/src/rehearsal/world.cpp
+++ b/src/rehearsal/world.cpp
@@ -7,7 +7,7 @@
 
 Checker::Bounds BoundsOf(const Scenario& scenario) {
   Checker::Bounds b;
-  b.cancel_s = scenario.site.cancel_within.ToSeconds();
+  b.cancel_s = scenario.site.cancel_deadline.ToSeconds();
   for (const Team& t : scenario.site.teams) b.limits[t.name] = {t.limit.cpu, t.limit.gpu};
   // What was on its way then arrives, and whoever was ended is back.
   for (const Trouble& t : scenario.troubles) {
@@ -19,7 +19,7 @@
 std::map<std::string, Service::Bound> ServiceBounds(const Scenario& scenario) {
   std::map<std::string, Service::Bound> out;
   for (const JobClass& c : scenario.classes) {
-    out[c.spec.lane] = {c.start_within.ToSeconds(), c.done_within.ToSeconds()};
+    out[c.spec.job_class] = {c.start_within.ToSeconds(), c.done_within.ToSeconds()};
   }
   return out;
 }
@@ -68,7 +68,7 @@
                if (HungUntil(machine) > now_) return Later(HungUntil(machine), tell);
                tell();
              },
-             [this](const std::string& machine, const TaskKey& task, ExitCause cause, bool saved) {
+             [this](const std::string& machine, const TaskKey& task, ExitReason cause, bool saved) {
                const auto tell = [this, machine, task, cause, saved] {
                  auto it = workers_.find(machine);
                  if (it == workers_.end() || !it->second.on.contains(task)) return;
@@ -147,13 +147,13 @@
     const JobSpec* spec = work_.Find(id);
     const int there = on[id];
     if (!j.accepted || j.final || j.calls_off || j.left - there <= 0 || !spec) continue;
-    const bool whole = spec->shape == Shape::kGang;
+    const bool whole = spec->kind == JobKind::kGang;
     if (spec->spread || (whole && there > 0)) continue;
     int64_t limit = 0;
     for (const Team& t : teams_) limit = t.name == spec->team ? t.limit.cpu : limit;
     const int tasks = whole ? spec->tasks : 1;
     const int64_t used = stage_->checker.UsedCpu(spec->team) + spec->need.cpu * tasks;
-    jobs.push_back({id, spec->need, tasks, j.starts, spec->spot_ok, spec->same_zone,
+    jobs.push_back({id, spec->need, tasks, j.starts, spec->allow_spot, spec->same_zone,
                     limit == 0 || used <= limit});
   }
   for (const std::string& id : waiting_.See(now_, jobs, machines)) {
--- a/src/rehearsal/world.h
+++ b/src/rehearsal/world.h
@@ -129,7 +129,7 @@
   void TickNode(size_t index, int life);
   void WhenAwake(size_t index, std::function<void(Controller*)> then);
   void PumpNode(size_t index);
-  void NodeState(size_t index, const StateOp& op);
+  void NodeState(size_t index, const StateRequest& op);
   void BringKeptReports();
   int Leader() const;
 
@@ -164,7 +164,7 @@
   void ProbeNode(size_t index);
 
   // Other cells.
-  void TellCell(size_t index, const CellSend& send);
+  void TellCell(size_t index, const CellDelivery& send);
   CellsPlan Cells() const;
   void RestoreState();
 
--- a/src/scale/core/plan.cpp
+++ b/src/scale/core/plan.cpp
@@ -52,11 +52,11 @@
 // What a plan's site is where it does not say otherwise: as at the larger deployments.
 PlatformSettings LargeSiteSettings() {
   PlatformSettings s;
-  s.report_every = Seconds(4);
-  s.worker_lease = Seconds(22);
-  s.gang_wait = Seconds(30);
-  s.gang_peer = Seconds(6);
-  s.cancel_within = Seconds(52);
+  s.heartbeat_interval = Seconds(4);
+  s.agent_lease = Seconds(22);
+  s.gang_start_timeout = Seconds(30);
+  s.gang_failure_timeout = Seconds(6);
+  s.cancel_deadline = Seconds(52);
   s.state_rps = 900;
   s.state_write_rps = 60;
   s.cloud_rps = 10;
@@ -76,13 +76,13 @@
     const int of_team = jobs / plan.teams + (team < jobs % plan.teams ? 1 : 0);
     if (of_team == 0) continue;
     JobClass c;
-    c.spec.lane = kBatchLane;
+    c.spec.job_class = kBatchLane;
     c.spec.team = TeamName(team);
-    c.spec.shape = Shape::kArray;
-    c.spec.rank = Rank::kNormal;
+    c.spec.kind = JobKind::kArray;
+    c.spec.priority = Priority::kNormal;
     c.spec.need = {1000, 0, 1000};
     c.spec.image_gb = 0.2;
-    c.spec.estimate = plan.task_run;
+    c.spec.estimated_runtime = plan.task_run;
     c.run = plan.task_run;
     c.least_tasks = c.most_tasks = plan.tasks_per_job;
     c.from = from;
@@ -100,13 +100,13 @@
     const int of_kind = gangs / kinds + (kind < gangs % kinds ? 1 : 0);
     if (of_kind == 0) continue;
     JobClass c;
-    c.spec.lane = kUrgentLane;
+    c.spec.job_class = kUrgentLane;
     c.spec.team = TeamName(kind % plan.teams);
-    c.spec.shape = Shape::kGang;
-    c.spec.rank = Rank::kProduction;
+    c.spec.kind = JobKind::kGang;
+    c.spec.priority = Priority::kProduction;
     c.spec.need = {std::llround(plan.urgent.cpus * 1000), 0, 1000};
     c.spec.image_gb = 0.2;
-    c.spec.estimate = plan.urgent.run;
+    c.spec.estimated_runtime = plan.urgent.run;
     c.run = plan.urgent.run;
     c.least_tasks = c.most_tasks = plan.urgent.gang_sizes[static_cast<size_t>(kind)];
     c.until = plan.phases.load();
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -12,15 +12,15 @@
 constexpr size_t kNameLimit = 200;
 constexpr double kSpanLimit = 1e9;
 
-const char* PhaseName(Phase p) {
+const char* PhaseName(JobPhase p) {
   switch (p) {
-    case Phase::kPending:
+    case JobPhase::kPending:
       return "pending";
-    case Phase::kRunning:
+    case JobPhase::kRunning:
       return "running";
-    case Phase::kDone:
+    case JobPhase::kDone:
       return "done";
-    case Phase::kWithdrawn:
+    case JobPhase::kCancelled:
       return "withdrawn";
   }
   return "pending";
@@ -81,14 +81,15 @@
 // records.cpp, whatever it lacks.
 JobSpec ReadJob(const Value& v, Checker* c) {
   JobSpec s;
-  s.lane = c->Name("lane");
+  s.job_class = c->Name("lane");
   s.team = c->Name("owner");
-  s.shape = c->OneOf<Shape>(
-      "shape", {{"array", Shape::kArray}, {"gang", Shape::kGang}, {"daemon", Shape::kService}});
-  s.rank = c->OneOf<Rank>("rank", {{"production", Rank::kProduction},
-                                   {"high", Rank::kHigh},
-                                   {"normal", Rank::kNormal},
-                                   {"idle", Rank::kIdle}});
+  s.kind = c->OneOf<JobKind>(
+      "shape",
+      {{"array", JobKind::kArray}, {"gang", JobKind::kGang}, {"daemon", JobKind::kService}});
+  s.priority = c->OneOf<Priority>("rank", {{"production", Priority::kProduction},
+                                           {"high", Priority::kHigh},
+                                           {"normal", Priority::kNormal},
+                                           {"idle", Priority::kIdle}});
   s.tasks = c->Whole("legs", 1, 100000);
   // Rounded up: what a task takes is never less than it says.
   s.need.cpu = static_cast<int64_t>(std::ceil(c->Amount("cpus", 0, 1e6) * 1000 - 1e-6));
@@ -97,7 +98,7 @@
   s.image = c->Name("kit");
   s.image_gb = c->Amount("imageGb", 0, 1e6);
   if (const Value* builds = Find(v, "builds")) {
-    s.types.emplace();
+    s.machine_types.emplace();
     if (!builds->IsArray()) {
       c->Fail("builds", "a list of names, or null");
     } else {
@@ -106,18 +107,18 @@
           c->Fail("builds", "a list of names, or null");
           break;
         }
-        s.types->emplace_back(b.GetString(), b.GetStringLength());
+        s.machine_types->emplace_back(b.GetString(), b.GetStringLength());
       }
     }
   }
   if (Find(v, "yard")) s.zone = c->Name("yard");
   s.same_zone = c->Truth("samePlace");
   s.spread = c->Truth("spread");
-  s.spot_ok = c->Truth("loaners");
-  s.estimate = Seconds(c->Amount("expectS", 0, kSpanLimit));
-  s.checkpoint_every = Seconds(c->Amount("stashEveryS", 0, kSpanLimit));
-  s.save_time = Seconds(c->Amount("stashS", 0, kSpanLimit));
-  if (Find(v, "dueS")) s.due = Seconds(c->Amount("dueS", 0, kSpanLimit));
+  s.allow_spot = c->Truth("loaners");
+  s.estimated_runtime = Seconds(c->Amount("expectS", 0, kSpanLimit));
+  s.checkpoint_interval = Seconds(c->Amount("stashEveryS", 0, kSpanLimit));
+  s.checkpoint_duration = Seconds(c->Amount("stashS", 0, kSpanLimit));
+  if (Find(v, "dueS")) s.deadline = Seconds(c->Amount("dueS", 0, kSpanLimit));
   return s;
 }
 
@@ -135,34 +136,34 @@
   return true;
 }
 
-RunState ParseRunState(const std::string& s) {
-  if (s == "fetching") return RunState::kFetching;
-  if (s == "gathering") return RunState::kGathering;
-  if (s == "flushing") return RunState::kFlushing;
-  if (s == "exited") return RunState::kExited;
-  return RunState::kRunning;
+TaskPhase ParseRunState(const std::string& s) {
+  if (s == "fetching") return TaskPhase::kFetchingImage;
+  if (s == "gathering") return TaskPhase::kWaitingForGang;
+  if (s == "flushing") return TaskPhase::kCheckpointing;
+  if (s == "exited") return TaskPhase::kExited;
+  return TaskPhase::kRunning;
 }
 
-ExitCause ParseCause(const std::string& s) {
-  if (s == "done") return ExitCause::kDone;
-  if (s == "halted") return ExitCause::kHalted;
-  if (s == "peers") return ExitCause::kPeers;
-  if (s == "alone") return ExitCause::kAlone;
-  if (s == "full") return ExitCause::kFull;
-  if (s == "busy") return ExitCause::kBusy;
-  if (s == "unknown") return ExitCause::kUnknown;
-  return ExitCause::kError;
+ExitReason ParseCause(const std::string& s) {
+  if (s == "done") return ExitReason::kDone;
+  if (s == "halted") return ExitReason::kStopped;
+  if (s == "peers") return ExitReason::kGangMemberLost;
+  if (s == "alone") return ExitReason::kGangIncomplete;
+  if (s == "full") return ExitReason::kInsufficientResources;
+  if (s == "busy") return ExitReason::kDuplicateTask;
+  if (s == "unknown") return ExitReason::kUnknownTask;
+  return ExitReason::kError;
 }
 
-void PutOrders(Writer* w, const std::vector<Order>& orders) {
+void PutOrders(Writer* w, const std::vector<Command>& orders) {
   w->Key("orders").BeginList();
-  for (const Order& o : orders) {
+  for (const Command& o : orders) {
     w->Begin();
-    w->Put("verb", o.verb == Order::Verb::kStart  ? "start"
-                   : o.verb == Order::Verb::kHalt ? "halt"
-                                                  : "clear");
+    w->Put("verb", o.verb == Command::Verb::kStart  ? "start"
+                   : o.verb == Command::Verb::kStop ? "halt"
+                                                    : "clear");
     w->Put("leg", o.ref.job + "/" + std::to_string(o.ref.task)).Put("try", o.attempt);
-    if (o.verb == Order::Verb::kHalt) w->Put("windDownS", o.grace.ToSeconds());
+    if (o.verb == Command::Verb::kStop) w->Put("windDownS", o.grace_period.ToSeconds());
     w->End();
   }
   w->EndList();
@@ -198,7 +199,7 @@
   return out;
 }
 
-std::string FormatAnswer(const UserAnswer& a) {
+std::string FormatAnswer(const ApiResponse& a) {
   Writer w;
   w.Begin();
   if (a.status == 200 || a.status == 201) {
@@ -210,70 +211,74 @@
   return w.End().Done();
 }
 
-std::optional<Report> ParseReport(std::string_view body) {
+std::optional<Heartbeat> ParseReport(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return std::nullopt;
-  Report r;
+  Heartbeat r;
   r.machine = Text(doc, "sett");
   r.endpoint = Text(doc, "endpoint");
   r.type = Text(doc, "build");
   r.zone = Text(doc, "yard");
   r.spot = Flag(doc, "loaners");
-  r.session = Count(doc, "tenure");
-  r.seq = Count(doc, "tally");
+  r.agent_epoch = Count(doc, "tenure");
+  r.sequence = Count(doc, "tally");
   r.fencing_token = Count(doc, "baton");
-  if (const Value* n = Find(doc, "recallS"); n && n->IsNumber()) r.notice = Seconds(n->GetDouble());
-  if (r.machine.empty() || r.machine.size() > kNameLimit || r.session == 0) return std::nullopt;
+  if (const Value* n = Find(doc, "recallS"); n && n->IsNumber())
+    r.preemption_notice = Seconds(n->GetDouble());
+  if (r.machine.empty() || r.machine.size() > kNameLimit || r.agent_epoch == 0) return std::nullopt;
   if (const Value* legs = List(doc, "legs")) {
     r.tasks.reserve(legs->Size());
     for (const Value& leg : legs->GetArray()) {
-      ReportedTask t;
+      TaskStatus t;
       if (!ParseTask(Text(leg, "leg"), &t.ref)) continue;
       t.attempt = Count(leg, "try");
-      t.state = ParseRunState(Text(leg, "phase"));
-      if (t.state == RunState::kExited) t.cause = ParseCause(Text(leg, "cause"));
-      t.saved = Flag(leg, "stored");
+      t.phase = ParseRunState(Text(leg, "phase"));
+      if (t.phase == TaskPhase::kExited) t.exit_reason = ParseCause(Text(leg, "cause"));
+      t.checkpointed = Flag(leg, "stored");
       r.tasks.push_back(std::move(t));
     }
   }
   return r;
 }
 
-std::string FormatCheckinAnswer(const CheckinAnswer& a) {
+std::string FormatCheckinAnswer(const HeartbeatResponse& a) {
   Writer w;
   w.Begin();
   if (a.status == 200) {
     w.Put("baton", a.fencing_token);
-    PutOrders(&w, a.orders);
+    PutOrders(&w, a.commands);
   } else if (a.status == 421 && !a.leader.empty()) {
     w.Put("overseer", a.leader);
   }
   return w.End().Done();
 }
 
-std::string FormatDirect(const DirectOp& op) {
+std::string FormatDirect(const CommandRequest& op) {
   Writer w;
-  w.Begin().Put("baton", op.fencing_token).Put("tenure", op.session);
-  PutOrders(&w, op.orders);
+  w.Begin().Put("baton", op.fencing_token).Put("tenure", op.agent_epoch);
+  PutOrders(&w, op.commands);
   return w.End().Done();
 }
 
-std::string FormatReport(const Report& r) {
+std::string FormatReport(const Heartbeat& r) {
   static const char* const kStates[] = {"fetching", "fetching", "gathering",
                                         "running",  "flushing", "exited"};
   static const char* const kCauses[] = {"",      "done", "halted", "peers",  "alone",
                                         "error", "full", "busy",   "unknown"};
   Writer w;
   w.Begin().Put("sett", r.machine).Put("endpoint", r.endpoint).Put("build", r.type);
-  w.Put("yard", r.zone).Put("loaners", r.spot).Put("tenure", r.session).Put("tally", r.seq);
+  w.Put("yard", r.zone)
+      .Put("loaners", r.spot)
+      .Put("tenure", r.agent_epoch)
+      .Put("tally", r.sequence);
   w.Put("baton", r.fencing_token);
-  if (r.notice) w.Put("recallS", r.notice->ToSeconds());
+  if (r.preemption_notice) w.Put("recallS", r.preemption_notice->ToSeconds());
   w.Key("legs").BeginList();
-  for (const ReportedTask& t : r.tasks) {
+  for (const TaskStatus& t : r.tasks) {
     w.Begin().Put("leg", t.ref.job + "/" + std::to_string(t.ref.task)).Put("try", t.attempt);
-    w.Put("phase", kStates[static_cast<size_t>(t.state)]);
-    if (t.state == RunState::kExited) w.Put("cause", kCauses[static_cast<size_t>(t.cause)]);
-    if (t.saved) w.Put("stored", true);
+    w.Put("phase", kStates[static_cast<size_t>(t.phase)]);
+    if (t.phase == TaskPhase::kExited) w.Put("cause", kCauses[static_cast<size_t>(t.exit_reason)]);
+    if (t.checkpointed) w.Put("stored", true);
     w.End();
   }
   return w.EndList().End().Done();
@@ -281,22 +286,22 @@
 
 namespace {
 
-std::vector<Order> ParseOrders(const Value& doc) {
-  std::vector<Order> out;
+std::vector<Command> ParseOrders(const Value& doc) {
+  std::vector<Command> out;
   const Value* list = List(doc, "orders");
   if (!list) return out;
   for (const Value& v : list->GetArray()) {
-    Order o;
+    Command o;
     const std::string verb = Text(v, "verb");
     if (!ParseTask(Text(v, "leg"), &o.ref)) continue;
     o.attempt = Count(v, "try");
-    o.grace = Seconds(Number(v, "windDownS"));
+    o.grace_period = Seconds(Number(v, "windDownS"));
     if (verb == "start") {
-      o.verb = Order::Verb::kStart;
+      o.verb = Command::Verb::kStart;
     } else if (verb == "halt") {
-      o.verb = Order::Verb::kHalt;
+      o.verb = Command::Verb::kStop;
     } else if (verb == "clear") {
-      o.verb = Order::Verb::kClear;
+      o.verb = Command::Verb::kForget;
     } else {
       continue;
     }
@@ -307,8 +312,8 @@
 
 }  // namespace
 
-CheckinAnswer ParseCheckinAnswer(int status, std::string_view body) {
-  CheckinAnswer a;
+HeartbeatResponse ParseCheckinAnswer(int status, std::string_view body) {
+  HeartbeatResponse a;
   a.status = status;
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) {
@@ -317,17 +322,17 @@
   }
   a.fencing_token = Count(doc, "baton");
   a.leader = Text(doc, "overseer");
-  a.orders = ParseOrders(doc);
+  a.commands = ParseOrders(doc);
   return a;
 }
 
-std::optional<DirectOp> ParseDirect(std::string_view body) {
+std::optional<CommandRequest> ParseDirect(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc) || !Find(doc, "baton") || !Find(doc, "tenure")) return std::nullopt;
-  DirectOp op;
+  CommandRequest op;
   op.fencing_token = Count(doc, "baton");
-  op.session = Count(doc, "tenure");
-  op.orders = ParseOrders(doc);
+  op.agent_epoch = Count(doc, "tenure");
+  op.commands = ParseOrders(doc);
   return op;
 }
 
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -19,24 +19,24 @@
 // Users.
 Submission ParseSubmission(std::string_view body, int64_t time_of_day_ms);
 bool ValidJobId(std::string_view id);
-std::string FormatAnswer(const UserAnswer& answer);
+std::string FormatAnswer(const ApiResponse& answer);
 
 // Workers.
-std::optional<Report> ParseReport(std::string_view body);
-std::string FormatCheckinAnswer(const CheckinAnswer& answer);
-std::string FormatDirect(const DirectOp& op);
+std::optional<Heartbeat> ParseReport(std::string_view body);
+std::string FormatCheckinAnswer(const HeartbeatResponse& answer);
+std::string FormatDirect(const CommandRequest& op);
 
 // The same from the worker's side.
-std::string FormatReport(const Report& report);
-CheckinAnswer ParseCheckinAnswer(int status, std::string_view body);
-std::optional<DirectOp> ParseDirect(std::string_view body);
+std::string FormatReport(const Heartbeat& report);
+HeartbeatResponse ParseCheckinAnswer(int status, std::string_view body);
+std::optional<CommandRequest> ParseDirect(std::string_view body);
 
 // Cloud.
-Call FormatCloudCall(const CloudOp& op);
-CloudReply ParseCloudAnswer(const CloudOp& op, int status, std::string_view body);
+Call FormatCloudCall(const CloudRequest& op);
+CloudResponse ParseCloudAnswer(const CloudRequest& op, int status, std::string_view body);
 
 // State service.
-Call FormatStateCall(const StateOp& op);
-StateReply ParseStateAnswer(const StateOp& op, int status, std::string_view body);
+Call FormatStateCall(const StateRequest& op);
+StateResponse ParseStateAnswer(const StateRequest& op, int status, std::string_view body);
 
 }  // namespace badgershore::wire
--- a/src/wire/platform_messages.cpp
+++ b/src/wire/platform_messages.cpp
@@ -11,25 +11,25 @@
 Entry ReadEntry(const Value& v) {
   Entry e;
   e.key = Text(v, "path");
-  e.stamp = Count(v, "stamp");
+  e.version = Count(v, "stamp");
   if (const Value* value = Find(v, "value")) e.value = ReadRecord(e.key, *value);
   return e;
 }
 
-std::string FormatRent(const CloudOp& op) {
+std::string FormatRent(const CloudRequest& op) {
   Writer w;
-  w.Begin().Put("hire", op.name).Put("build", op.type).Put("yard", op.zone);
+  w.Begin().Put("hire", op.request_name).Put("build", op.type).Put("yard", op.zone);
   return w.Put("loaners", op.spot).Put("number", op.count).End().Done();
 }
 
-std::string FormatReturn(const CloudOp& op) {
+std::string FormatReturn(const CloudRequest& op) {
   Writer w;
   w.Begin().Key("setts").BeginList();
   for (const std::string& m : op.machines) w.Str(m);
   return w.EndList().End().Done();
 }
 
-bool ParseTypes(std::string_view body, CloudReply* reply) {
+bool ParseTypes(std::string_view body, CloudResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* builds = List(doc, "builds");
@@ -55,48 +55,49 @@
   return !reply->types.empty();
 }
 
-bool ParseRented(std::string_view body, CloudReply* reply) {
+bool ParseRented(std::string_view body, CloudResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* names = List(doc, "setts");
   if (!names) return false;
   for (const Value& n : names->GetArray()) {
-    if (n.IsString()) reply->rented.emplace_back(n.GetString(), n.GetStringLength());
+    if (n.IsString()) reply->created.emplace_back(n.GetString(), n.GetStringLength());
   }
   return true;
 }
 
-bool ParseListed(std::string_view body, CloudReply* reply) {
+bool ParseListed(std::string_view body, CloudResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* list = List(doc, "setts");
   if (!list) return false;
   for (const Value& v : list->GetArray()) {
-    ListedMachine m;
+    CloudInstance m;
     m.id = Text(v, "nameId");
     m.endpoint = Text(v, "endpoint");
     m.type = Text(v, "build");
     m.zone = Text(v, "yard");
     m.spot = Flag(v, "loaners");
     const std::string phase = Text(v, "phase");
-    m.phase = phase == "running"  ? ListedMachine::Phase::kRunning
-              : phase == "failed" ? ListedMachine::Phase::kFailed
-                                  : ListedMachine::Phase::kStarting;
+    m.phase = phase == "running"  ? CloudInstance::Phase::kRunning
+              : phase == "failed" ? CloudInstance::Phase::kFailed
+                                  : CloudInstance::Phase::kStarting;
     m.age = Seconds(Number(v, "heldS"));
-    if (!m.id.empty()) reply->listed.push_back(std::move(m));
+    if (!m.id.empty()) reply->instances.push_back(std::move(m));
   }
-  reply->more = Flag(doc, "truncated");
+  reply->has_more = Flag(doc, "truncated");
   return true;
 }
 
-std::string FormatCommit(const StateOp& op) {
+std::string FormatCommit(const StateRequest& op) {
   Writer w;
   w.Begin().Key("guards").BeginList();
-  for (const Guard& g : op.guards) w.Begin().Put("path", g.key).Put("stamp", g.stamp).End();
+  for (const Precondition& g : op.preconditions)
+    w.Begin().Put("path", g.key).Put("stamp", g.version).End();
   w.EndList().Key("then").BeginList();
-  for (const Change& c : op.changes) {
+  for (const Mutation& c : op.mutations) {
     w.Begin();
-    if (c.erase) {
+    if (c.is_delete) {
       w.Put("delete", c.key);
     } else {
       w.Put("put", c.key).Key("value");
@@ -108,41 +109,41 @@
   return w.EndList().End().Done();
 }
 
-std::string FormatGrant(const StateOp& op) {
+std::string FormatGrant(const StateRequest& op) {
   Writer w;
-  return w.Begin().Put("lifeMs", op.span.ToMillis()).End().Done();
+  return w.Begin().Put("lifeMs", op.duration.ToMillis()).End().Done();
 }
 
-bool ParseEntry(std::string_view body, StateReply* reply) {
+bool ParseEntry(std::string_view body, StateResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   reply->entries.push_back(ReadEntry(doc));
-  return reply->entries.back().stamp != 0;
+  return reply->entries.back().version != 0;
 }
 
-bool ParseEntries(std::string_view body, StateReply* reply) {
+bool ParseEntries(std::string_view body, StateResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* list = List(doc, "entries");
   if (!list) return false;
   for (const Value& v : list->GetArray()) reply->entries.push_back(ReadEntry(v));
-  reply->more = Flag(doc, "truncated");
-  reply->epoch = Count(doc, "epoch");
+  reply->has_more = Flag(doc, "truncated");
+  reply->revision = Count(doc, "epoch");
   return true;
 }
 
-bool ParseChanges(std::string_view body, StateReply* reply) {
+bool ParseChanges(std::string_view body, StateResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
-  reply->epoch = Count(doc, "epoch");
+  reply->revision = Count(doc, "epoch");
   const Value* list = List(doc, "log");
   if (!list) return true;
   for (const Value& v : list->GetArray()) {
     Entry e;
-    e.erased = Find(v, "delete") != nullptr;
-    e.key = Text(v, e.erased ? "delete" : "put");
-    e.stamp = Count(v, "stamp");
-    if (const Value* value = Find(v, "value"); value && !e.erased) {
+    e.deleted = Find(v, "delete") != nullptr;
+    e.key = Text(v, e.deleted ? "delete" : "put");
+    e.version = Count(v, "stamp");
+    if (const Value* value = Find(v, "value"); value && !e.deleted) {
       e.value = ReadRecord(e.key, *value);
     }
     reply->entries.push_back(std::move(e));
@@ -150,19 +151,19 @@
   return true;
 }
 
-bool ParseCommit(std::string_view body, StateReply* reply) {
+bool ParseCommit(std::string_view body, StateResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
-  reply->epoch = Count(doc, "epoch");
+  reply->revision = Count(doc, "epoch");
   if (const Value* failed = List(doc, "failed")) {
     for (const Value& f : failed->GetArray()) {
-      if (f.IsString()) reply->failed.emplace_back(f.GetString(), f.GetStringLength());
+      if (f.IsString()) reply->failed_keys.emplace_back(f.GetString(), f.GetStringLength());
     }
   }
   return true;
 }
 
-bool ParseGrant(std::string_view body, StateReply* reply) {
+bool ParseGrant(std::string_view body, StateResponse* reply) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   reply->lease = Count(doc, "tenancy");
@@ -171,23 +172,23 @@
 
 }  // namespace
 
-Call FormatCloudCall(const CloudOp& op) {
+Call FormatCloudCall(const CloudRequest& op) {
   Call c;
   c.timeout = Seconds(4);
   switch (op.kind) {
-    case CloudOp::Kind::kTypes:
+    case CloudRequest::Kind::kListMachineTypes:
       c.target = "/flavors";
       break;
-    case CloudOp::Kind::kList:
+    case CloudRequest::Kind::kListInstances:
       c.target = "/rentals?limit=500";
-      if (!op.after.empty()) c.target += "&since=" + op.after;
+      if (!op.start_after.empty()) c.target += "&since=" + op.start_after;
       break;
-    case CloudOp::Kind::kRent:
+    case CloudRequest::Kind::kScaleOut:
       c.method = "POST";
       c.target = "/rentals";
       c.body = FormatRent(op);
       break;
-    case CloudOp::Kind::kReturn:
+    case CloudRequest::Kind::kScaleIn:
       c.method = "POST";
       c.target = "/rentals/return";
       c.body = FormatReturn(op);
@@ -196,27 +197,27 @@
   return c;
 }
 
-CloudReply ParseCloudAnswer(const CloudOp& op, int status, std::string_view body) {
-  using Outcome = CloudReply::Outcome;
-  CloudReply reply;
+CloudResponse ParseCloudAnswer(const CloudRequest& op, int status, std::string_view body) {
+  using Outcome = CloudResponse::Outcome;
+  CloudResponse reply;
   if (status == 200) {
     bool good = true;
-    if (op.kind == CloudOp::Kind::kTypes) good = ParseTypes(body, &reply);
-    if (op.kind == CloudOp::Kind::kList) good = ParseListed(body, &reply);
-    if (op.kind == CloudOp::Kind::kRent) good = ParseRented(body, &reply);
+    if (op.kind == CloudRequest::Kind::kListMachineTypes) good = ParseTypes(body, &reply);
+    if (op.kind == CloudRequest::Kind::kListInstances) good = ParseListed(body, &reply);
+    if (op.kind == CloudRequest::Kind::kScaleOut) good = ParseRented(body, &reply);
     reply.outcome = good ? Outcome::kOk : Outcome::kUnknown;
   } else if (status == 503 && body.find("no capacity") != std::string_view::npos) {
     reply.outcome = Outcome::kNoCapacity;
   } else if (status == 400) {
     reply.outcome = Outcome::kInvalid;
   } else {
-    reply.outcome = Outcome::kBusy;
+    reply.outcome = Outcome::kThrottled;
   }
   return reply;
 }
 
-Call FormatStateCall(const StateOp& op) {
-  using Kind = StateOp::Kind;
+Call FormatStateCall(const StateRequest& op) {
+  using Kind = StateRequest::Kind;
   Call c;
   c.timeout = Millis(1500);
   switch (op.kind) {
@@ -225,58 +226,58 @@
       break;
     case Kind::kList:
       c.target = "/store?starts=" + op.key + "&limit=500";
-      if (!op.after.empty()) c.target += "&since=" + op.after;
+      if (!op.start_after.empty()) c.target += "&since=" + op.start_after;
       c.timeout = Seconds(4);
       break;
-    case Kind::kCommit:
+    case Kind::kCompareAndSwap:
       c.method = "POST";
       c.target = "/commit";
       c.body = FormatCommit(op);
       break;
-    case Kind::kGrant:
+    case Kind::kGrantLease:
       c.method = "POST";
       c.target = "/grants";
       c.body = FormatGrant(op);
       c.timeout = Millis(1000);
       break;
-    case Kind::kTouch:
+    case Kind::kRenewLease:
       c.method = "POST";
       c.target = "/grants/" + std::to_string(op.lease) + "/touch";
       c.body = "{}";
       c.timeout = Millis(1000);
       break;
-    case Kind::kRelease:
+    case Kind::kRevokeLease:
       c.method = "DELETE";
       c.target = "/grants/" + std::to_string(op.lease);
       c.timeout = Millis(1000);
       break;
     case Kind::kWatch:
       c.target = "/changes?starts=" + op.key + "&since=" + std::to_string(op.revision) +
-                 "&waitMs=" + std::to_string(op.span.ToMillis());
+                 "&waitMs=" + std::to_string(op.duration.ToMillis());
       // One that is answered often is soon asked again.
-      c.timeout = op.span + (op.span < Seconds(2) ? Seconds(1) : Seconds(3));
+      c.timeout = op.duration + (op.duration < Seconds(2) ? Seconds(1) : Seconds(3));
       break;
   }
   return c;
 }
 
-StateReply ParseStateAnswer(const StateOp& op, int status, std::string_view body) {
-  using Kind = StateOp::Kind;
-  using Outcome = StateReply::Outcome;
-  StateReply reply;
+StateResponse ParseStateAnswer(const StateRequest& op, int status, std::string_view body) {
+  using Kind = StateRequest::Kind;
+  using Outcome = StateResponse::Outcome;
+  StateResponse reply;
   bool good = true;
   switch (status) {
     case 200:
       reply.outcome = Outcome::kOk;
       if (op.kind == Kind::kGet) good = ParseEntry(body, &reply);
       if (op.kind == Kind::kList) good = ParseEntries(body, &reply);
-      if (op.kind == Kind::kCommit) good = ParseCommit(body, &reply);
-      if (op.kind == Kind::kGrant) good = ParseGrant(body, &reply);
+      if (op.kind == Kind::kCompareAndSwap) good = ParseCommit(body, &reply);
+      if (op.kind == Kind::kGrantLease) good = ParseGrant(body, &reply);
       if (op.kind == Kind::kWatch) good = ParseChanges(body, &reply);
       if (!good) reply.outcome = Outcome::kUnknown;
       break;
     case 404:
-      reply.outcome = Outcome::kMissing;
+      reply.outcome = Outcome::kNotFound;
       break;
     case 409:
       reply.outcome = Outcome::kConflict;
@@ -288,7 +289,7 @@
     case 429:
     case 503:
       reply.outcome = Outcome::kRefused;
-      reply.limited = status == 429;
+      reply.rate_limited = status == 429;
       break;
     default:
       reply.outcome = status >= 200 && status < 300 ? Outcome::kOk : Outcome::kInvalid;
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -46,13 +46,13 @@
   Writer* w;
   void operator()(const std::monostate&) const {}
   void operator()(const TermRecord& r) const { w->Put("term", r.term).Put("leader", r.leader); }
-  void operator()(const LeadRecord& r) const { w->Put("leader", r.leader).Put("term", r.term); }
-  void operator()(const EndRecord& r) const {
-    w->Put("end", r.withdrawn ? "withdrawn" : "done").Put("tasks", r.tasks);
+  void operator()(const LeaderRecord& r) const { w->Put("leader", r.leader).Put("term", r.term); }
+  void operator()(const JobEndRecord& r) const {
+    w->Put("end", r.cancelled ? "withdrawn" : "done").Put("tasks", r.tasks);
   }
   void operator()(const ProgressPage& r) const {
     w->Key("pieces").BeginList();
-    for (const ProgressPiece& p : r.pieces) {
+    for (const ProgressChunk& p : r.chunks) {
       w->Begin().Put("job", p.job).Put("chunk", p.chunk).Put("bits", p.bits).End();
     }
     w->EndList();
@@ -93,17 +93,18 @@
     PutList(w, "zones", r.zones);
   }
   void operator()(const JobSpec& r) const {
-    w->Put("id", r.id).Put("lane", r.lane).Put("team", r.team);
-    w->Put("shape", static_cast<int>(r.shape)).Put("rank", static_cast<int>(r.rank));
+    w->Put("id", r.id).Put("lane", r.job_class).Put("team", r.team);
+    w->Put("shape", static_cast<int>(r.kind)).Put("rank", static_cast<int>(r.priority));
     w->Put("tasks", r.tasks);
     PutResources(w, r.need);
     w->Put("image", r.image).Put("image_gb", r.image_gb);
-    if (r.types) PutList(w, "types", *r.types);
+    if (r.machine_types) PutList(w, "types", *r.machine_types);
     if (r.zone) w->Put("zone", *r.zone);
-    w->Put("same_zone", r.same_zone).Put("spread", r.spread).Put("spot_ok", r.spot_ok);
-    w->Put("estimate_us", r.estimate.count).Put("checkpoint_us", r.checkpoint_every.count);
-    w->Put("save_us", r.save_time.count);
-    if (r.due) w->Put("due_us", r.due->count);
+    w->Put("same_zone", r.same_zone).Put("spread", r.spread).Put("spot_ok", r.allow_spot);
+    w->Put("estimate_us", r.estimated_runtime.count)
+        .Put("checkpoint_us", r.checkpoint_interval.count);
+    w->Put("save_us", r.checkpoint_duration.count);
+    if (r.deadline) w->Put("due_us", r.deadline->count);
     w->Put("submitted_ms", r.submitted_ms);
   }
 };
@@ -153,23 +154,23 @@
 JobSpec ReadJob(const Value& v) {
   JobSpec s;
   s.id = Text(v, "id");
-  s.lane = Text(v, "lane");
+  s.job_class = Text(v, "lane");
   s.team = Text(v, "team");
-  s.shape = static_cast<Shape>(std::clamp(static_cast<int>(Number(v, "shape")), 0, 2));
-  s.rank = static_cast<Rank>(std::clamp(static_cast<int>(Number(v, "rank")), 0, 3));
+  s.kind = static_cast<JobKind>(std::clamp(static_cast<int>(Number(v, "shape")), 0, 2));
+  s.priority = static_cast<Priority>(std::clamp(static_cast<int>(Number(v, "rank")), 0, 3));
   s.tasks = std::clamp(static_cast<int>(Number(v, "tasks")), 1, 100000);
   s.need = ReadResources(v);
   s.image = Text(v, "image");
   s.image_gb = Number(v, "image_gb");
-  if (const Value* types = Find(v, "types")) s.types = ReadList(*types);
+  if (const Value* types = Find(v, "types")) s.machine_types = ReadList(*types);
   if (Find(v, "zone")) s.zone = Text(v, "zone");
   s.same_zone = Flag(v, "same_zone");
   s.spread = Flag(v, "spread");
-  s.spot_ok = Flag(v, "spot_ok");
-  s.estimate = ReadMicros(v, "estimate_us");
-  s.checkpoint_every = ReadMicros(v, "checkpoint_us");
-  s.save_time = ReadMicros(v, "save_us");
-  if (Find(v, "due_us")) s.due = ReadMicros(v, "due_us");
+  s.allow_spot = Flag(v, "spot_ok");
+  s.estimated_runtime = ReadMicros(v, "estimate_us");
+  s.checkpoint_interval = ReadMicros(v, "checkpoint_us");
+  s.checkpoint_duration = ReadMicros(v, "save_us");
+  if (Find(v, "due_us")) s.deadline = ReadMicros(v, "due_us");
   s.submitted_ms = static_cast<int64_t>(Number(v, "submitted_ms"));
   return s;
 }
@@ -185,8 +186,8 @@
 Record ReadRecord(const std::string& key, const Value& v) {
   if (!v.IsObject()) return {};
   if (key == keys::kTerm) return TermRecord{Count(v, "term"), Text(v, "leader")};
-  if (key == keys::kLead || key == keys::kNext)
-    return LeadRecord{Text(v, "leader"), Count(v, "term")};
+  if (key == keys::kLeader || key == keys::kSuccessor)
+    return LeaderRecord{Text(v, "leader"), Count(v, "term")};
   if (key == keys::kEscrow) return ReadEscrow(v);
   if (key == keys::kTypes) return TypeCountRecord{static_cast<int>(Number(v, "count"))};
   if (Starts(key, keys::kType)) {
@@ -202,15 +203,15 @@
     return t;
   }
   if (Starts(key, keys::kJob)) return ReadJob(v);
-  if (Starts(key, keys::kEnd)) {
-    return EndRecord{Text(v, "end") == "withdrawn", static_cast<int>(Number(v, "tasks"))};
+  if (Starts(key, keys::kJobEnd)) {
+    return JobEndRecord{Text(v, "end") == "withdrawn", static_cast<int>(Number(v, "tasks"))};
   }
   if (Starts(key, keys::kProgress)) {
     ProgressPage page;
     const Value* pieces = Find(v, "pieces");
     if (!pieces || !pieces->IsArray()) return page;
     for (const Value& p : pieces->GetArray()) {
-      page.pieces.push_back(
+      page.chunks.push_back(
           {Text(p, "job"), static_cast<int>(Number(p, "chunk")), Text(p, "bits")});
     }
     return page;
--- a/tests/agent_test.cpp
+++ b/tests/agent_test.cpp
@@ -6,31 +6,31 @@
 namespace badgershore::agent {
 namespace {
 
-using Kind = Command::Kind;
+using Kind = Action::Kind;
 
 class Worker : public testing::Test {
  protected:
   Worker() { agent.Tick(now); }
 
   // The report that is under way, if one was just sent.
-  std::optional<Command> Report() {
-    for (Command& c : agent.Take()) {
+  std::optional<Action> Report() {
+    for (Action& c : agent.Take()) {
       commands.push_back(c);
       if (c.kind == Kind::kReport) sent = c;
     }
     return std::exchange(sent, std::nullopt);
   }
-  void Answer(const Command& report, uint64_t fencing_token, std::vector<Order> orders = {},
+  void Answer(const Action& report, uint64_t fencing_token, std::vector<Command> orders = {},
               int status = 200, std::string leader = "") {
-    CheckinAnswer a;
+    HeartbeatResponse a;
     a.status = status;
     a.fencing_token = fencing_token;
-    a.orders = std::move(orders);
+    a.commands = std::move(orders);
     a.leader = std::move(leader);
     agent.OnAnswer(now, report.report_id, a);
   }
   // Time passes until a report is sent, at most for `span`.
-  Command Advance(Micros span) {
+  Action Advance(Micros span) {
     const Micros until = now + span;
     while (agent.NextDeadline() <= until) {
       now = std::max(now, agent.NextDeadline());
@@ -41,41 +41,41 @@
     return {};
   }
   bool Did(Kind kind, const std::string& text = "") {
-    for (const Command& c : commands) {
+    for (const Action& c : commands) {
       if (c.kind == kind && (text.empty() || c.text == text || c.task.ref.job == text)) return true;
     }
     return false;
   }
-  static Order Start(const std::string& job, int task, uint64_t attempt) {
-    return {Order::Verb::kStart, {job, task}, attempt, {}};
+  static Command Start(const std::string& job, int task, uint64_t attempt) {
+    return {Command::Verb::kStart, {job, task}, attempt, {}};
   }
-  static Order Halt(const std::string& job, int task, uint64_t attempt, double grace) {
-    return {Order::Verb::kHalt, {job, task}, attempt, Seconds(grace)};
+  static Command Halt(const std::string& job, int task, uint64_t attempt, double grace) {
+    return {Command::Verb::kStop, {job, task}, attempt, Seconds(grace)};
   }
-  static JobSpec Spec(Shape shape = Shape::kArray, int64_t cpu = 1000) {
+  static JobSpec Spec(JobKind shape = JobKind::kArray, int64_t cpu = 1000) {
     JobSpec s;
     s.id = "job-1";
-    s.shape = shape;
+    s.kind = shape;
     s.tasks = 4;
     s.need = {cpu, 0, 1000};
     s.image = "img";
     s.image_gb = 1;
-    s.checkpoint_every = Seconds(10);
-    s.save_time = Seconds(2);
+    s.checkpoint_interval = Seconds(10);
+    s.checkpoint_duration = Seconds(2);
     return s;
   }
-  const ReportedTask* Find(const agent::Command& c, int task, uint64_t attempt) {
-    for (const ReportedTask& t : c.report.tasks) {
+  const TaskStatus* Find(const Action& c, int task, uint64_t attempt) {
+    for (const TaskStatus& t : c.report.tasks) {
       if (t.ref.task == task && t.attempt == attempt) return &t;
     }
     return nullptr;
   }
   // Up to running, in the first session under fencing token 5.
-  void Running(Shape shape = Shape::kArray) {
+  void Running(JobKind shape = JobKind::kArray) {
     Answer(*Report(), 5, {Start("job-1", 0, 1)});
     agent.OnDescription(now, "job-1", Spec(shape));
     agent.OnImage(now, "img");
-    if (shape == Shape::kGang) agent.OnGangComplete(now, {{"job-1", 0}, 1});
+    if (shape == JobKind::kGang) agent.OnGangComplete(now, {{"job-1", 0}, 1});
   }
 
   Micros now = Seconds(100);
@@ -87,15 +87,15 @@
                Seconds(30)},
               0,
               now};
-  std::vector<Command> commands;
-  std::optional<Command> sent;
+  std::vector<Action> commands;
+  std::optional<Action> sent;
 };
 
 // Guards against: a report that leaves before the answer's starts are carried out. Controllers
 // take its missing starts for a proof that they never came, and count their room as free: seen as
 // a job that crowded a zone (docs/incidents/report-before-orders.md).
 TEST_F(Worker, CarriesOutAnAnswersOrdersBeforeTheNextReport) {
-  const Command first = *Report();
+  const Action first = *Report();
   now += Seconds(3);  // the answer was held; the next report is long due
   Answer(first, 5, {Start("job-1", 0, 1)});
   const auto next = Report();
@@ -108,26 +108,27 @@
   Answer(*Report(), 5,
          {Start("job-1", 0, 1), Start("job-1", 0, 2), Start("job-2", 0, 3), Start("job-1", 1, 4),
           Start("job-1", 9, 5)});
-  agent.OnDescription(now, "job-1", Spec(Shape::kArray, 3000));
+  agent.OnDescription(now, "job-1", Spec(JobKind::kArray, 3000));
   agent.OnDescription(now, "job-2", std::nullopt);
-  const Command r = Advance(Seconds(1));
-  EXPECT_EQ(Find(r, 0, 1)->state, RunState::kFetching);
-  EXPECT_EQ(Find(r, 0, 2)->cause, ExitCause::kBusy);
-  EXPECT_EQ(Find(r, 0, 3)->cause, ExitCause::kUnknown);
-  EXPECT_EQ(Find(r, 1, 4)->cause, ExitCause::kFull);  // fetching tasks count
-  EXPECT_EQ(Find(r, 9, 5)->cause, ExitCause::kUnknown);
+  const Action r = Advance(Seconds(1));
+  EXPECT_EQ(Find(r, 0, 1)->phase, TaskPhase::kFetchingImage);
+  EXPECT_EQ(Find(r, 0, 2)->exit_reason, ExitReason::kDuplicateTask);
+  EXPECT_EQ(Find(r, 0, 3)->exit_reason, ExitReason::kUnknownTask);
+  EXPECT_EQ(Find(r, 1, 4)->exit_reason,
+            ExitReason::kInsufficientResources);  // fetching tasks count
+  EXPECT_EQ(Find(r, 9, 5)->exit_reason, ExitReason::kUnknownTask);
 }
 
 TEST_F(Worker, AStartTwiceIsOneTaskUntilItIsCleared) {
   Running();
-  Command r = Advance(Seconds(1));
+  Action r = Advance(Seconds(1));
   commands.clear();
   Answer(r, 5, {Start("job-1", 0, 1)});
-  agent.OnExit(now, {{"job-1", 0}, 1}, ExitCause::kDone, false);
+  agent.OnExit(now, {{"job-1", 0}, 1}, ExitReason::kDone, false);
   r = Advance(Seconds(1));
   EXPECT_FALSE(Did(Kind::kLaunch));
-  EXPECT_EQ(Find(r, 0, 1)->cause, ExitCause::kDone);
-  Answer(r, 5, {{Order::Verb::kClear, {"job-1", 0}, 1, {}}, Start("job-1", 0, 1)});
+  EXPECT_EQ(Find(r, 0, 1)->exit_reason, ExitReason::kDone);
+  Answer(r, 5, {{Command::Verb::kForget, {"job-1", 0}, 1, {}}, Start("job-1", 0, 1)});
   agent.OnDescription(now, "job-1", Spec());
   Report();
   EXPECT_TRUE(Did(Kind::kLaunch));  // forgotten: it is started once more
@@ -149,7 +150,7 @@
 
 // The lease counts from the sending of the report, not from its answer.
 TEST_F(Worker, TheLeaseCountsFromTheReportsSending) {
-  const Command first = *Report();
+  const Action first = *Report();
   const Micros at = now;
   now += Millis(3900);
   Answer(first, 5);
@@ -163,13 +164,13 @@
 
 TEST_F(Worker, HaltSavesWhereThereIsTimeAndASecondOneEndsIt) {
   Running();
-  Command r = Advance(Seconds(1));
+  Action r = Advance(Seconds(1));
   Answer(r, 5, {Halt("job-1", 0, 1, 5)});
   Report();
   EXPECT_TRUE(Did(Kind::kSave));
   EXPECT_FALSE(Did(Kind::kKill));
   r = Advance(Seconds(3));
-  EXPECT_EQ(Find(r, 0, 1)->state, RunState::kFlushing);
+  EXPECT_EQ(Find(r, 0, 1)->phase, TaskPhase::kCheckpointing);
   Answer(r, 5, {Halt("job-1", 0, 1, 5)});  // repeated: does nothing
   Report();
   EXPECT_FALSE(Did(Kind::kKill));
@@ -180,18 +181,18 @@
 
 TEST_F(Worker, AGangThatIsNotCompleteInTimeExitsAlone) {
   Answer(*Report(), 5, {Start("job-1", 0, 1)});
-  agent.OnDescription(now, "job-1", Spec(Shape::kGang));
+  agent.OnDescription(now, "job-1", Spec(JobKind::kGang));
   agent.OnImage(now, "img");
-  ReportedTask last;
+  TaskStatus last;
   for (int i = 0; i < 40; ++i) {
-    const Command r = Advance(Seconds(1));
+    const Action r = Advance(Seconds(1));
     if (r.report_id == 0) continue;
     last = *Find(r, 0, 1);
-    if (last.state == RunState::kExited) break;
-    EXPECT_EQ(last.state, RunState::kGathering);
+    if (last.phase == TaskPhase::kExited) break;
+    EXPECT_EQ(last.phase, TaskPhase::kWaitingForGang);
     Answer(r, 5);
   }
-  EXPECT_EQ(last.cause, ExitCause::kAlone);
+  EXPECT_EQ(last.exit_reason, ExitReason::kGangIncomplete);
   EXPECT_TRUE(Did(Kind::kKill));
 }
 
@@ -208,7 +209,7 @@
 }
 
 TEST_F(Worker, ReportsGoWhereTheyAreSentAndNeverTooOften) {
-  Command r = *Report();
+  Action r = *Report();
   const size_t at = r.controller;
   Answer(r, 0, {}, 421, "c-" + std::to_string((at + 2) % 3));
   r = Advance(Millis(500));
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -34,7 +34,7 @@
 TEST(Platform, ReadsTheFile) {
   const PlatformSettings s = ParsePlatform(kGood, "f.json");
   EXPECT_EQ(s.member, "m-0");
-  EXPECT_EQ(s.worker_lease, Seconds(18));
+  EXPECT_EQ(s.agent_lease, Seconds(18));
   EXPECT_EQ(s.teams[0].guarantee.cpu, 2500);
   EXPECT_EQ(s.teams[0].limit.cpu, 4000);
   EXPECT_EQ(s.objectives[0].within, Seconds(250));
@@ -119,9 +119,9 @@
   const CellsPlan plan = config::ParseCells(kCells, "cells.yaml", "10.0.1.1:1");
   EXPECT_EQ(plan.self, "south");
   ASSERT_EQ(plan.cells.size(), 4u);
-  EXPECT_TRUE(plan.cells[1].drains);
-  EXPECT_EQ(plan.cells[2].heir, "north");
-  EXPECT_FALSE(plan.cells[3].founding);
+  EXPECT_TRUE(plan.cells[1].draining);
+  EXPECT_EQ(plan.cells[2].successor, "north");
+  EXPECT_FALSE(plan.cells[3].initial_member);
 }
 
 TEST(Cells, ComplaintsNameFileLineAndWhatWasExpected) {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -11,13 +11,13 @@
 TEST(Buckets, AreOfOneRatio) {
   JobSpec s;
   const auto bucket = [&](double seconds) {
-    s.estimate = Seconds(seconds);
+    s.estimated_runtime = Seconds(seconds);
     return BucketOf(s, 2.0);
   };
   EXPECT_EQ(bucket(4), bucket(7.9));
   EXPECT_EQ(bucket(8), bucket(4) + 1);
   EXPECT_EQ(bucket(16), bucket(4) + 2);
-  s.shape = Shape::kService;
+  s.kind = JobKind::kService;
   EXPECT_EQ(bucket(4), kBuckets - 1);
 }
 
@@ -26,18 +26,18 @@
   type.size = {4000, 0, 8000};
   Machine a, b;
   a.type = b.type = &type;
-  a.work.assign(kBuckets, 0);
-  b.work.assign(kBuckets, 0);
+  a.dispatched_work.assign(kBuckets, 0);
+  b.dispatched_work.assign(kBuckets, 0);
   Job job;
-  job.spec.estimate = Seconds(10);
+  job.spec.estimated_runtime = Seconds(10);
   job.spec.need = {1000, 0, 1000};
   job.bucket = BucketOf(job.spec, 2.0);
   const auto bucket = static_cast<size_t>(job.bucket);
-  a.work[bucket] = 100;
+  a.dispatched_work[bucket] = 100;
   const std::vector<Able> able = {{&a, type.size}, {&b, type.size}};
   EXPECT_EQ(LeastReceived(job, able).Next()->machine, &b);
   // What another bucket has received plays no part.
-  b.work[bucket + 1] = 1e6;
+  b.dispatched_work[bucket + 1] = 1e6;
   EXPECT_EQ(LeastReceived(job, able).Next()->machine, &b);
   const std::vector<Able> none;
   EXPECT_EQ(LeastReceived(job, none).Next(), nullptr);
@@ -51,7 +51,7 @@
 TEST(Dispatch, WorkIsMeasuredByTheShareOfTheMachine) {
   const Resources small{4000, 0, 8000}, large{32000, 0, 64000};
   JobSpec s;
-  s.estimate = Seconds(10);
+  s.estimated_runtime = Seconds(10);
   s.need = {1000, 0, 1000};
   EXPECT_DOUBLE_EQ(WorkOn(s, small), 2.5);
   EXPECT_DOUBLE_EQ(WorkOn(s, large), 0.3125);
@@ -59,10 +59,10 @@
 
 TEST(Dispatch, ANewMachineBeginsLevelWithItsPeers) {
   Machine a, b, fresh;
-  a.work.assign(kBuckets, 2.0);
-  b.work.assign(kBuckets, 4.0);
+  a.dispatched_work.assign(kBuckets, 2.0);
+  b.dispatched_work.assign(kBuckets, 4.0);
   LevelCounters(&fresh, {&a, &b});
-  EXPECT_DOUBLE_EQ(fresh.work[0], 3.0);
+  EXPECT_DOUBLE_EQ(fresh.dispatched_work[0], 3.0);
 }
 
 TEST(Pages, ManyItemsCostOneChange) {
@@ -161,10 +161,10 @@
   types["box"] = {"box", {4000, 0, 16000}, 10, 1, 1, 0.3, Seconds(30), {}};
   Job waiting;
   waiting.spec.need = {1000, 0, 1000};
-  waiting.spec.estimate = Seconds(30);
-  waiting.spec.due = Seconds(57);
-  waiting.spec.spot_ok = true;
-  waiting.arrived = Seconds(100);
+  waiting.spec.estimated_runtime = Seconds(30);
+  waiting.spec.deadline = Seconds(57);
+  waiting.spec.allow_spot = true;
+  waiting.submitted_at = Seconds(100);
   const auto rented = [&](int earlier) {
     Autoscaler scaler(options);
     JobSpec spec = waiting.spec;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -59,7 +59,7 @@
         if (cut.contains(name)) continue;
         escrow.Tick(now);
         Write(name);
-        for (const limits::CellNote& note : escrow.Notes()) {
+        for (const limits::CellMessage& note : escrow.Notes()) {
           if (cut.contains(note.to) || !at.contains(note.to)) continue;
           at.at(note.to).OnNote(note, now);
           Write(note.to);
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -62,8 +62,9 @@
   for (const config::JobClass& c : scenario.classes) {
     const int jobs = static_cast<int>(c.per_minute * (c.until - c.from).ToSeconds() / 60);
     EXPECT_GT(jobs, 0) << "a class without a job";
-    if (c.spec.lane == kUrgentLane) urgent_jobs += jobs;
-    if (c.spec.lane == kBatchLane && c.until == Seconds(19)) peak_tasks += jobs * c.least_tasks;
+    if (c.spec.job_class == kUrgentLane) urgent_jobs += jobs;
+    if (c.spec.job_class == kBatchLane && c.until == Seconds(19))
+      peak_tasks += jobs * c.least_tasks;
   }
   EXPECT_EQ(peak_tasks, 200);  // 20 a second for 10 s
   EXPECT_EQ(urgent_jobs, 19);  // one a second for 19 s
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -71,15 +71,15 @@
   out << m.ToSeconds();
   return out.str();
 }
-std::string ShowOrders(const std::vector<Order>& orders) {
+std::string ShowOrders(const std::vector<Command>& orders) {
   std::string out;
-  for (const Order& o : orders) {
+  for (const Command& o : orders) {
     if (!out.empty()) out += "; ";
-    out += o.verb == Order::Verb::kStart  ? "start "
-           : o.verb == Order::Verb::kHalt ? "halt "
-                                          : "clear ";
+    out += o.verb == Command::Verb::kStart  ? "start "
+           : o.verb == Command::Verb::kStop ? "halt "
+                                            : "clear ";
     out += o.ref.job + "/" + std::to_string(o.ref.task) + "@" + ShowAttempt(o.attempt);
-    if (o.verb == Order::Verb::kHalt) out += " grace " + ShowSeconds(o.grace);
+    if (o.verb == Command::Verb::kStop) out += " grace " + ShowSeconds(o.grace_period);
   }
   return out.empty() ? "nothing" : out;
 }
@@ -99,7 +99,7 @@
   };
   std::map<std::string, Item> items;
   std::vector<Entry> history;
-  std::vector<StateOp> held;  // sent into the dark, to be carried out late
+  std::vector<StateRequest> held;  // sent into the dark, to be carried out late
   uint64_t leases = 100;
   std::set<uint64_t> live_leases;
 
@@ -121,17 +121,17 @@
   static bool Under(const std::string& key, const std::string& prefix) {
     return key.compare(0, prefix.size(), prefix) == 0;
   }
-  StateReply Do(const StateOp& op) {
-    using K = StateOp::Kind;
-    using O = StateReply::Outcome;
-    StateReply r;
+  StateResponse Do(const StateRequest& op) {
+    using K = StateRequest::Kind;
+    using O = StateResponse::Outcome;
+    StateResponse r;
     r.outcome = O::kOk;
-    r.epoch = epoch;
+    r.revision = epoch;
     switch (op.kind) {
       case K::kGet: {
         auto it = items.find(op.key);
         if (it == items.end()) {
-          r.outcome = O::kMissing;
+          r.outcome = O::kNotFound;
         } else {
           r.entries.push_back(Entry{op.key, it->second.value, it->second.stamp, false});
         }
@@ -139,49 +139,50 @@
       }
       case K::kList:
         for (auto& [k, i] : items) {
-          if (Under(k, op.key) && k > op.after)
+          if (Under(k, op.key) && k > op.start_after)
             r.entries.push_back(Entry{k, i.value, i.stamp, false});
         }
         break;
-      case K::kCommit: {
-        for (const Guard& g : op.guards) {
+      case K::kCompareAndSwap: {
+        for (const Precondition& g : op.preconditions) {
           auto it = items.find(g.key);
-          if ((it == items.end() ? 0 : it->second.stamp) != g.stamp) r.failed.push_back(g.key);
+          if ((it == items.end() ? 0 : it->second.stamp) != g.version)
+            r.failed_keys.push_back(g.key);
         }
-        if (!r.failed.empty()) {
+        if (!r.failed_keys.empty()) {
           r.outcome = O::kConflict;
           break;
         }
-        for (const Change& c : op.changes) {
+        for (const Mutation& c : op.mutations) {
           if (c.lease != 0 && !live_leases.count(c.lease)) {
             r.outcome = O::kInvalid;
             return r;
           }
         }
         ++epoch;
-        for (const Change& c : op.changes) {
-          if (c.erase) {
+        for (const Mutation& c : op.mutations) {
+          if (c.is_delete) {
             Erase(c.key);
           } else {
             Put(c.key, c.value, c.lease);
           }
         }
-        r.epoch = epoch;
+        r.revision = epoch;
         break;
       }
-      case K::kGrant:
+      case K::kGrantLease:
         r.lease = ++leases;
         live_leases.insert(r.lease);
         break;
-      case K::kTouch:
-        if (!live_leases.count(op.lease)) r.outcome = O::kMissing;
+      case K::kRenewLease:
+        if (!live_leases.count(op.lease)) r.outcome = O::kNotFound;
         break;
-      case K::kRelease:
+      case K::kRevokeLease:
         EndLease(op.lease);
         break;
       case K::kWatch:
         for (const Entry& e : history) {
-          if (e.stamp > op.revision && Under(e.key, op.key)) r.entries.push_back(e);
+          if (e.version > op.revision && Under(e.key, op.key)) r.entries.push_back(e);
         }
         break;
     }
@@ -199,11 +200,11 @@
     settings_.objectives.push_back({"finished", "timely", Seconds(60), 0.9});
     settings_.objectives.push_back({"wait", "prompt", Seconds(5), 0.9});
     settings_.teams = {{"team", {}, {}}, {"small", {}, {2000, 0, 0}}, {"sure", {2000, 0, 0}, {}}};
-    settings_.report_every = Seconds(1);
-    settings_.worker_lease = Seconds(10);
-    settings_.gang_wait = Seconds(30);
-    settings_.gang_peer = Seconds(4);
-    settings_.cancel_within = Seconds(40);
+    settings_.heartbeat_interval = Seconds(1);
+    settings_.agent_lease = Seconds(10);
+    settings_.gang_start_timeout = Seconds(30);
+    settings_.gang_failure_timeout = Seconds(4);
+    settings_.cancel_deadline = Seconds(40);
     settings_.cloud_list_lag = Seconds(2);
     MachineType box;
     box.name = "box";
@@ -279,14 +280,14 @@
     if (verb == "elsewhere") return Elsewhere(w);
     if (verb == "cloud") return SetCloud(w, tail);
     if (verb == "peer") {
-      PeerNote note;
+      PeerStatus note;
       note.from = w.At(1);
       note.term = static_cast<uint64_t>(w.Number("term", 1));
       note.leader = w.Text("leader", "m-0");
-      note.state_ok = w.Has("state");
-      note.hears_workers = w.Has("hears");
-      if (w.named.contains("calls_off")) note.calls_off = {w.Text("calls_off")};
-      if (w.named.contains("called_off")) note.called_off = {w.Text("called_off")};
+      note.state_service_reachable = w.Has("state");
+      note.receives_heartbeats = w.Has("hears");
+      if (w.named.contains("calls_off")) note.cancelling = {w.Text("calls_off")};
+      if (w.named.contains("called_off")) note.cancelled = {w.Text("called_off")};
       core_->OnPeer(now_, note);
       return Pump();
     }
@@ -318,45 +319,45 @@
   void Pump() {
     for (int round = 0; round < 200; ++round) {
       Effects out = core_->Take();
-      for (const CheckinAnswer& a : out.checkins) {
-        if (a.token != checkin_token_) continue;
+      for (const HeartbeatResponse& a : out.heartbeat_responses) {
+        if (a.request_id != checkin_token_) continue;
         last_checkin_ = std::to_string(a.status);
         if (a.status == 200) {
           last_checkin_ +=
-              " baton " + std::to_string(a.fencing_token) + ": " + ShowOrders(a.orders);
+              " baton " + std::to_string(a.fencing_token) + ": " + ShowOrders(a.commands);
         }
         if (a.status == 421) last_checkin_ += " " + a.leader;
       }
-      for (const UserAnswer& a : out.answers) {
+      for (const ApiResponse& a : out.api_responses) {
         static const char* kPhases[] = {"pending", "running", "done", "withdrawn"};
         last_answer_ = std::to_string(a.status);
         if (a.status == 200 || a.status == 201) {
           last_answer_ += std::string(" ") + kPhases[static_cast<int>(a.phase)];
         }
       }
-      for (DirectOp& d : out.direct) {
+      for (CommandRequest& d : out.command_requests) {
         std::string text = "direct " + d.machine + " baton " + std::to_string(d.fencing_token) +
-                           ": " + ShowOrders(d.orders);
+                           ": " + ShowOrders(d.commands);
         seen_.push_back(text);
         direct_[d.machine].push_back(d);
       }
       for (const LogLine& l : out.log) logs_.push_back(l.text);
-      for (const CloudOp& c : out.cloud) RunCloud(c);
-      bool any = !out.cloud.empty();
-      for (StateOp& op : out.state) any |= RunStateOp(op);
+      for (const CloudRequest& c : out.cloud_requests) RunCloud(c);
+      bool any = !out.cloud_requests.empty();
+      for (StateRequest& op : out.state_requests) any |= RunStateOp(op);
       any |= RunWatches();
       if (!any) return;
     }
     throw Stop{"the core never comes to rest"};
   }
 
-  bool RunStateOp(const StateOp& op) {
-    if (op.kind == StateOp::Kind::kWatch) {
+  bool RunStateOp(const StateRequest& op) {
+    if (op.kind == StateRequest::Kind::kWatch) {
       watches_.push_back({op, now_});
       return false;
     }
-    StateReply r;
-    if (lists_hang_ && op.kind == StateOp::Kind::kList) {
+    StateResponse r;
+    if (lists_hang_ && op.kind == StateRequest::Kind::kList) {
       core_->OnState(now_, op.id, std::move(r));
       return false;  // it is asked again, but not at the same moment
     }
@@ -365,15 +366,15 @@
         r = store_.Do(op);
         break;
       case Store::Mode::kRefusing:
-        r.outcome = StateReply::Outcome::kRefused;
+        r.outcome = StateResponse::Outcome::kRefused;
         break;
       case Store::Mode::kSilent:
         store_.held.push_back(op);
-        r.outcome = StateReply::Outcome::kUnknown;
+        r.outcome = StateResponse::Outcome::kUnknown;
         break;
       case Store::Mode::kLosing:
         store_.Do(op);
-        r.outcome = StateReply::Outcome::kUnknown;
+        r.outcome = StateResponse::Outcome::kUnknown;
         break;
     }
     core_->OnState(now_, op.id, std::move(r));
@@ -387,9 +388,9 @@
     std::swap(open, watches_);
     bool any = false;
     for (OpenWatch& w : open) {
-      StateReply r;
+      StateResponse r;
       if (served) r = store_.Do(w.op);
-      const Micros until = w.sent + w.op.span + (served ? Micros{} : Seconds(1));
+      const Micros until = w.sent + w.op.duration + (served ? Micros{} : Seconds(1));
       if (r.entries.empty() && now_ < until) {
         watches_.push_back(w);
       } else {
@@ -400,25 +401,26 @@
     return any;
   }
 
-  void RunCloud(const CloudOp& op) {
-    CloudReply r;
-    r.outcome = cloud_up_ ? CloudReply::Outcome::kOk : CloudReply::Outcome::kBusy;
-    if (op.kind == CloudOp::Kind::kRent) {
+  void RunCloud(const CloudRequest& op) {
+    CloudResponse r;
+    r.outcome = cloud_up_ ? CloudResponse::Outcome::kOk : CloudResponse::Outcome::kThrottled;
+    if (op.kind == CloudRequest::Kind::kScaleOut) {
       seen_.push_back("rent " + std::to_string(op.count) + " " + op.type +
                       (op.spot ? " spot" : ""));
-      if (names_.count(op.name)) throw Stop{"a rental's name was used twice: " + op.name};
-      if (cloud_up_ && !rents_) r.outcome = CloudReply::Outcome::kNoCapacity;
+      if (names_.count(op.request_name))
+        throw Stop{"a rental's name was used twice: " + op.request_name};
+      if (cloud_up_ && !rents_) r.outcome = CloudResponse::Outcome::kNoCapacity;
       for (int i = 0; rents_ && i < op.count; ++i) {
-        r.rented.push_back("n-9" + std::to_string(++rented_));
+        r.created.push_back("n-9" + std::to_string(++rented_));
       }
-      if (rents_ && cloud_up_ && !cloud_silent_) names_.insert(op.name);
+      if (rents_ && cloud_up_ && !cloud_silent_) names_.insert(op.request_name);
     }
-    if (op.kind == CloudOp::Kind::kReturn) {
+    if (op.kind == CloudRequest::Kind::kScaleIn) {
       for (const std::string& m : op.machines) seen_.push_back("return " + m);
     }
-    if (cloud_up_ && op.kind == CloudOp::Kind::kTypes) r.types = types_;
-    if (cloud_up_ && op.kind == CloudOp::Kind::kList) r.listed = listed_;
-    if (cloud_silent_) r.outcome = CloudReply::Outcome::kUnknown;
+    if (cloud_up_ && op.kind == CloudRequest::Kind::kListMachineTypes) r.types = types_;
+    if (cloud_up_ && op.kind == CloudRequest::Kind::kListInstances) r.instances = listed_;
+    if (cloud_silent_) r.outcome = CloudResponse::Outcome::kUnknown;
     core_->OnCloud(now_, op.id, std::move(r));
   }
 
@@ -426,22 +428,26 @@
     Submission s;
     JobSpec spec;
     spec.id = s.id = w.At(1);
-    spec.lane = w.Text("lane", "lane");
+    spec.job_class = w.Text("lane", "lane");
     spec.team = w.Text("team", "team");
-    spec.shape = w.Has("gang") ? Shape::kGang : w.Has("service") ? Shape::kService : Shape::kArray;
-    spec.rank = w.Has("high") ? Rank::kHigh : w.Has("idle") ? Rank::kIdle : Rank::kNormal;
+    spec.kind = w.Has("gang")      ? JobKind::kGang
+                : w.Has("service") ? JobKind::kService
+                                   : JobKind::kArray;
+    spec.priority = w.Has("high")   ? Priority::kHigh
+                    : w.Has("idle") ? Priority::kIdle
+                                    : Priority::kNormal;
     spec.tasks = static_cast<int>(w.Number("tasks", 1));
     spec.need = {static_cast<int64_t>(w.Number("cpus", 1) * 1000), 0,
                  static_cast<int64_t>(w.Number("mem", 1) * 1000)};
     spec.image = "image";
-    spec.estimate = Seconds(w.Number("estimate", 30));
-    if (w.named.contains("due")) spec.due = Seconds(w.Number("due", 0));
-    spec.checkpoint_every = Seconds(w.Number("checkpoint", 0));
-    spec.save_time = Seconds(w.Number("save", 0));
+    spec.estimated_runtime = Seconds(w.Number("estimate", 30));
+    if (w.named.contains("due")) spec.deadline = Seconds(w.Number("due", 0));
+    spec.checkpoint_interval = Seconds(w.Number("checkpoint", 0));
+    spec.checkpoint_duration = Seconds(w.Number("save", 0));
     spec.same_zone = w.Has("same_zone");
     spec.spread = w.Has("spread");
-    spec.spot_ok = w.Has("spot");
-    if (!w.Text("type").empty()) spec.types = std::vector<std::string>{w.Text("type")};
+    spec.allow_spot = w.Has("spot");
+    if (!w.Text("type").empty()) spec.machine_types = std::vector<std::string>{w.Text("type")};
     if (!w.Text("zone").empty()) spec.zone = w.Text("zone");
     spec.submitted_ms = 1000000 + now_.ToMillis();
     if (!w.Has("malformed")) s.spec = spec;
@@ -449,37 +455,43 @@
     Pump();
   }
 
-  Report ReadReport(const Words& w, const std::string& machine, const std::string& tail) {
-    Report r;
+  Heartbeat ReadReport(const Words& w, const std::string& machine, const std::string& tail) {
+    Heartbeat r;
     r.machine = machine;
     r.endpoint = "e:" + machine;
     r.type = w.Has("big") ? "big" : "box";
     r.zone = w.Text("zone", "a");
     r.spot = w.Has("spot");
-    r.session = static_cast<uint64_t>(w.Number("tenure", 1));
-    r.seq =
+    r.agent_epoch = static_cast<uint64_t>(w.Number("tenure", 1));
+    r.sequence =
         w.named.count("tally") ? static_cast<uint64_t>(w.Number("tally", 0)) : ++sequence_[machine];
-    sequence_[machine] = std::max(sequence_[machine], r.seq);
+    sequence_[machine] = std::max(sequence_[machine], r.sequence);
     r.fencing_token = static_cast<uint64_t>(w.Number("baton", 1));
-    if (w.named.count("notice")) r.notice = Seconds(w.Number("notice", 0));
-    static const std::map<std::string, RunState> kStates = {{"fetching", RunState::kFetching},
-                                                            {"gathering", RunState::kGathering},
-                                                            {"running", RunState::kRunning},
-                                                            {"flushing", RunState::kFlushing},
-                                                            {"exited", RunState::kExited}};
-    static const std::map<std::string, ExitCause> kCauses = {
-        {"done", ExitCause::kDone},   {"halted", ExitCause::kHalted},  {"peers", ExitCause::kPeers},
-        {"alone", ExitCause::kAlone}, {"error", ExitCause::kError},    {"full", ExitCause::kFull},
-        {"busy", ExitCause::kBusy},   {"unknown", ExitCause::kUnknown}};
+    if (w.named.count("notice")) r.preemption_notice = Seconds(w.Number("notice", 0));
+    static const std::map<std::string, TaskPhase> kStates = {
+        {"fetching", TaskPhase::kFetchingImage},
+        {"gathering", TaskPhase::kWaitingForGang},
+        {"running", TaskPhase::kRunning},
+        {"flushing", TaskPhase::kCheckpointing},
+        {"exited", TaskPhase::kExited}};
+    static const std::map<std::string, ExitReason> kCauses = {
+        {"done", ExitReason::kDone},
+        {"halted", ExitReason::kStopped},
+        {"peers", ExitReason::kGangMemberLost},
+        {"alone", ExitReason::kGangIncomplete},
+        {"error", ExitReason::kError},
+        {"full", ExitReason::kInsufficientResources},
+        {"busy", ExitReason::kDuplicateTask},
+        {"unknown", ExitReason::kUnknownTask}};
     for (const std::string& item : Split(tail, ';')) {
       const Words t(item);
       const std::string name = t.At(0);
       const size_t slash = name.find('/'), at = name.find('@');
-      ReportedTask task;
+      TaskStatus task;
       task.ref = {name.substr(0, slash), std::stoi(name.substr(slash + 1, at - slash - 1))};
       task.attempt = ReadAttempt(name.substr(at + 1));
-      task.state = kStates.at(t.At(1));
-      if (task.state == RunState::kExited) task.cause = kCauses.at(t.At(2));
+      task.phase = kStates.at(t.At(1));
+      if (task.phase == TaskPhase::kExited) task.exit_reason = kCauses.at(t.At(2));
       r.tasks.push_back(task);
     }
     return r;
@@ -495,11 +507,11 @@
   void AnswerDirect(const Words& w, const std::string& tail) {
     auto& waiting = direct_[w.At(1)];
     if (waiting.empty()) throw Stop{"no direct call is waiting at " + w.At(1)};
-    const DirectOp op = waiting.front();
+    const CommandRequest op = waiting.front();
     waiting.pop_front();
-    DirectReply r;
+    CommandResponse r;
     r.status = std::stoi(w.At(2));
-    if (r.status != 0) r.report = ReadReport(w, w.At(1), tail);
+    if (r.status != 0) r.heartbeat = ReadReport(w, w.At(1), tail);
     core_->OnDirect(now_, op.id, std::move(r));
     Pump();
   }
@@ -518,9 +530,9 @@
     else if (mode == "loses-answers")
       store_.mode = Store::Mode::kLosing;
     else if (mode == "delivers-late") {
-      std::vector<StateOp> held;
+      std::vector<StateRequest> held;
       std::swap(held, store_.held);
-      for (const StateOp& op : held) store_.Do(op);
+      for (const StateRequest& op : held) store_.Do(op);
     } else
       throw Stop{"no such mode"};
     Pump();
@@ -544,8 +556,8 @@
       return;
     }
     if (!there) throw Stop{"it is not there"};
-    if (const auto* end = std::get_if<EndRecord>(&it->second.value)) {
-      const std::string is = end->withdrawn ? "withdrawn" : "done";
+    if (const auto* end = std::get_if<JobEndRecord>(&it->second.value)) {
+      const std::string is = end->cancelled ? "withdrawn" : "done";
       if (!w.At(3).empty() && w.At(3) != is) throw Stop{"it says " + is};
     }
   }
@@ -553,14 +565,14 @@
   void Elsewhere(const Words& w) {
     ++store_.epoch;
     if (w.At(1) == "withdraw") {
-      store_.Put(keys::kEnd + w.At(2), EndRecord{true, 0});
+      store_.Put(keys::kJobEnd + w.At(2), JobEndRecord{true, 0});
       store_.Erase(keys::kJob + w.At(2));
     } else if (w.At(1) == "leads") {
       const uint64_t term = static_cast<uint64_t>(w.Number("term", 2));
-      store_.Put(keys::kLead, LeadRecord{w.At(2), term}, 1);
+      store_.Put(keys::kLeader, LeaderRecord{w.At(2), term}, 1);
       store_.Put(keys::kTerm, TermRecord{term, w.At(2)});
     } else if (w.At(1) == "dies") {
-      store_.Erase(keys::kLead);
+      store_.Erase(keys::kLeader);
     } else if (w.At(1) == "ends-our-lease") {
       for (uint64_t l : std::set<uint64_t>(store_.live_leases)) store_.EndLease(l);
     } else if (w.At(1) == "records") {
@@ -589,15 +601,15 @@
       listed_.clear();
       for (const std::string& item : Split(tail, ';')) {
         const Words m(item);
-        ListedMachine l;
+        CloudInstance l;
         l.id = m.At(0);
         l.endpoint = "e:" + l.id;
         l.type = m.Has("big") ? "big" : "box";
         l.zone = m.Text("zone", "a");
         l.spot = m.Has("spot");
-        l.phase = m.Has("running")  ? ListedMachine::Phase::kRunning
-                  : m.Has("failed") ? ListedMachine::Phase::kFailed
-                                    : ListedMachine::Phase::kStarting;
+        l.phase = m.Has("running")  ? CloudInstance::Phase::kRunning
+                  : m.Has("failed") ? CloudInstance::Phase::kFailed
+                                    : CloudInstance::Phase::kStarting;
         l.age = Seconds(m.Number("age", 0));
         listed_.push_back(l);
       }
@@ -632,18 +644,18 @@
   Micros now_ = Seconds(100);
   Store store_;
   struct OpenWatch {
-    StateOp op;
+    StateRequest op;
     Micros sent;
   };
   std::vector<OpenWatch> watches_;
   bool watches_hang_ = false, lists_hang_ = false;
-  std::map<std::string, std::deque<DirectOp>> direct_;
+  std::map<std::string, std::deque<CommandRequest>> direct_;
   std::vector<std::string> seen_;
   std::vector<std::string> logs_;
   std::map<std::string, std::string> last_reports_;
   std::set<std::string> names_;
   std::vector<MachineType> types_;
-  std::vector<ListedMachine> listed_;
+  std::vector<CloudInstance> listed_;
   bool cloud_up_ = true, cloud_silent_ = false, rents_ = false;
   int rented_ = 0;
   RequestId token_ = 0, checkin_token_ = 0;
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -23,12 +23,12 @@
   const Submission s = ParseSubmission(kJob, 5);
   ASSERT_TRUE(s.spec) << s.reason;
   EXPECT_EQ(s.id, "job-000412");
-  EXPECT_EQ(s.spec->shape, Shape::kGang);
+  EXPECT_EQ(s.spec->kind, JobKind::kGang);
   EXPECT_EQ(s.spec->need, (Resources{8000, 1000, 64000}));
-  EXPECT_EQ(s.spec->types->at(0), "g8");
+  EXPECT_EQ(s.spec->machine_types->at(0), "g8");
   EXPECT_FALSE(s.spec->zone);
   EXPECT_TRUE(s.spec->same_zone);
-  EXPECT_EQ(s.spec->due, Seconds(900));
+  EXPECT_EQ(s.spec->deadline, Seconds(900));
   EXPECT_EQ(s.spec->submitted_ms, 5);
 }
 
@@ -97,7 +97,7 @@
                           &doc));
   const JobSpec spec = std::get<JobSpec>(ReadRecord("job/job-1", doc));
   EXPECT_EQ(spec.tasks, 3);
-  EXPECT_FALSE(spec.same_zone || spec.spread || spec.spot_ok);
+  EXPECT_FALSE(spec.same_zone || spec.spread || spec.allow_spot);
 }
 
 TEST(Records, JobsComeBackAsTheyWere) {
@@ -127,10 +127,10 @@
   EXPECT_EQ(fleet.machines[1].zone, "b");
   const auto progress = std::get<ProgressPage>(
       again("prog/0", ProgressPage{{{"job-1", 0, "0f"}, {"job-2", 3, "8"}}}));
-  ASSERT_EQ(progress.pieces.size(), 2u);
-  EXPECT_EQ(progress.pieces[1].job, "job-2");
-  EXPECT_EQ(progress.pieces[1].chunk, 3);
-  EXPECT_EQ(progress.pieces[1].bits, "8");
+  ASSERT_EQ(progress.chunks.size(), 2u);
+  EXPECT_EQ(progress.chunks[1].job, "job-2");
+  EXPECT_EQ(progress.chunks[1].chunk, 3);
+  EXPECT_EQ(progress.chunks[1].bits, "8");
 }
 
 TEST(Workers, ReadsReportsAndWritesOrders) {
@@ -139,39 +139,39 @@
  "tally":88,"baton":41,"recallS":12.5,"legs":[{"leg":"job-1/3","try":2,"phase":"running"},
  {"leg":"job-2/0","try":9007199254740991,"phase":"exited","cause":"done"},{"leg":"odd"}]})");
   ASSERT_TRUE(r);
-  EXPECT_EQ(r->session, 2u);
-  EXPECT_EQ(r->notice, Millis(12500));
+  EXPECT_EQ(r->agent_epoch, 2u);
+  EXPECT_EQ(r->preemption_notice, Millis(12500));
   ASSERT_EQ(r->tasks.size(), 2u);
   EXPECT_EQ(r->tasks[1].attempt, 9007199254740991u);
-  EXPECT_EQ(r->tasks[1].cause, ExitCause::kDone);
+  EXPECT_EQ(r->tasks[1].exit_reason, ExitReason::kDone);
   EXPECT_FALSE(ParseReport("{}"));
-  CheckinAnswer a;
+  HeartbeatResponse a;
   a.status = 200;
   a.fencing_token = 7;
-  a.orders = {{Order::Verb::kHalt, {"job-1", 3}, 2, Seconds(10)}};
+  a.commands = {{Command::Verb::kStop, {"job-1", 3}, 2, Seconds(10)}};
   EXPECT_EQ(FormatCheckinAnswer(a),
             R"({"baton":7,"orders":[{"verb":"halt","leg":"job-1/3","try":2,"windDownS":10.0}]})");
 }
 
 TEST(State, ReadsChangesAndFailures) {
-  StateOp watch, commit;
-  watch.kind = StateOp::Kind::kWatch;
-  commit.kind = StateOp::Kind::kCommit;
-  const StateReply r = ParseStateAnswer(
+  StateRequest watch, commit;
+  watch.kind = StateRequest::Kind::kWatch;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  const StateResponse r = ParseStateAnswer(
       watch, 200,
       R"({"epoch":9,"log":[{"put":"end/job-1","value":{"end":"withdrawn","tasks":0},"stamp":8},
  {"delete":"job/job-1","stamp":9}]})");
   ASSERT_TRUE(r.ok());
-  EXPECT_EQ(r.epoch, 9u);
-  EXPECT_TRUE(std::get<EndRecord>(r.entries[0].value).withdrawn);
-  EXPECT_TRUE(r.entries[1].erased);
-  const StateReply c = ParseStateAnswer(commit, 409, R"({"failed":["ctl/term"],"epoch":3})");
-  EXPECT_EQ(c.outcome, StateReply::Outcome::kConflict);
-  EXPECT_EQ(c.failed[0], "ctl/term");
+  EXPECT_EQ(r.revision, 9u);
+  EXPECT_TRUE(std::get<JobEndRecord>(r.entries[0].value).cancelled);
+  EXPECT_TRUE(r.entries[1].deleted);
+  const StateResponse c = ParseStateAnswer(commit, 409, R"({"failed":["ctl/term"],"epoch":3})");
+  EXPECT_EQ(c.outcome, StateResponse::Outcome::kConflict);
+  EXPECT_EQ(c.failed_keys[0], "ctl/term");
 }
 
 TEST(Peers, WhatCellsTellEachOtherIsMarkedAndComesBack) {
-  limits::CellNote note;
+  limits::CellMessage note;
   note.from = "north";
   note.to = "south";
   note.nonce = 7;
@@ -221,7 +221,7 @@
 }
 
 TEST(Peers, NotesComeBackAndNoiseDoesNot) {
-  PeerNote note{"m-1", 7, "m-2", true, {{"job-1", 3, 4}}, true, {"job-9"}, {"job-8"}};
+  PeerStatus note{"m-1", 7, "m-2", true, {{"job-1", 3, 4}}, true, {"job-9"}, {"job-8"}};
   const std::string frame = peer::Encode(note);
   const auto head = peer::ReadHead(frame);
   ASSERT_TRUE(head);
@@ -230,22 +230,22 @@
   const auto back = peer::Decode(std::string_view(frame).substr(4));
   ASSERT_TRUE(back);
   EXPECT_EQ(back->leader, "m-2");
-  EXPECT_EQ(back->jobs[0].running, 4);
-  EXPECT_TRUE(back->hears_workers);
-  EXPECT_EQ(back->calls_off, std::vector<std::string>{"job-9"});
+  EXPECT_EQ(back->job_statuses[0].running, 4);
+  EXPECT_TRUE(back->receives_heartbeats);
+  EXPECT_EQ(back->cancelling, std::vector<std::string>{"job-9"});
   // Notes of the versions before are good still: one ended with the jobs, one with who hears
   // workers.
-  EXPECT_EQ(back->called_off, std::vector<std::string>{"job-8"});
+  EXPECT_EQ(back->cancelled, std::vector<std::string>{"job-8"});
   const size_t calls_off = 2 * (8 + 8 + 5);  // twice: how many, how long, and the name
   const auto first = peer::Decode(std::string_view(frame).substr(4, head->size - calls_off - 1));
   ASSERT_TRUE(first);
-  EXPECT_FALSE(first->hears_workers);
-  EXPECT_TRUE(first->calls_off.empty());
+  EXPECT_FALSE(first->receives_heartbeats);
+  EXPECT_TRUE(first->cancelling.empty());
   const auto second = peer::Decode(std::string_view(frame).substr(4, head->size - calls_off));
   ASSERT_TRUE(second);
-  EXPECT_TRUE(second->hears_workers);
-  EXPECT_TRUE(second->calls_off.empty());
-  EXPECT_TRUE(second->called_off.empty());
+  EXPECT_TRUE(second->receives_heartbeats);
+  EXPECT_TRUE(second->cancelling.empty());
+  EXPECT_TRUE(second->cancelled.empty());
   EXPECT_FALSE(peer::Decode(std::string_view(frame).substr(4, head->size / 2)));
   EXPECT_FALSE(peer::ReadHead(std::string("\xff\xff\xff\xff", 4)));
 }
