--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -8,7 +8,7 @@
 #include "adapters/cloud_client.h"
 #include "adapters/metrics.h"
 #include "adapters/state_client.h"
-#include "core/frontend/controller.h"
+#include "core/controller/controller.h"
 #include "http/server.h"
 #include "peer/link.h"
 
--- a/src/check/cancel_model.cpp
+++ b/src/check/cancel_model.cpp
@@ -4,7 +4,7 @@
 #include <array>
 
 #include "check/small_state.h"
-#include "core/frontend/leader_authority.h"
+#include "core/election/leader_authority.h"
 
 namespace badgershore::check {
 namespace {
@@ -25,9 +25,9 @@
     std::optional<StateResponse> held;  // carried out, on its way
   };
   struct Node {
-    std::unique_ptr<Asker> asker;
+    std::unique_ptr<Outbox> outbox;
     std::unique_ptr<Election> election;
-    std::unique_ptr<Mirror> jobs;
+    std::unique_ptr<KeyRangeCache> jobs;
     std::unique_ptr<LeaderAuthority> authority;
     std::vector<Watch> watches;
     bool won = false, lost = false, knows = false;
@@ -57,13 +57,13 @@
     n = Node();
     n.refused = refused;
     n.hangs = hangs;
-    n.asker = std::make_unique<Asker>();
+    n.outbox = std::make_unique<Outbox>();
     Election::Callbacks callbacks;
     callbacks.won = [&n](Micros) { n.won = true; };
     callbacks.lost = [&n](Micros) { n.lost = true; };
     callbacks.control = [](Micros, const Entry&) {};
     n.election =
-        std::make_unique<Election>(n.asker.get(), std::string(1, static_cast<char>('a' + i)),
+        std::make_unique<Election>(n.outbox.get(), std::string(1, static_cast<char>('a' + i)),
                                    static_cast<int>(i), kLease, std::move(callbacks));
   }
 
@@ -75,8 +75,8 @@
       n->knows = false;
     }
     if (!std::exchange(n->won, false)) return;
-    n->jobs = std::make_unique<Mirror>(
-        n->asker.get(), keys::kJob, [n](Micros, const Entry& e) { n->knows = !e.deleted; },
+    n->jobs = std::make_unique<KeyRangeCache>(
+        n->outbox.get(), keys::kJob, [n](Micros, const Entry& e) { n->knows = !e.deleted; },
         [](Micros) {}, kWatch);
     n->authority = std::make_unique<LeaderAuthority>(n->election.get(), n->jobs.get(), kCancel,
                                                      kWorkerLease, kLease);
@@ -88,7 +88,7 @@
     for (int round = 0; round < 8; ++round) {
       LeaderContext(&n);
       if (n.jobs) n.jobs->Tick(Clock(i));
-      std::vector<StateRequest> ops = std::exchange(n.asker->out.state_requests, {});
+      std::vector<StateRequest> ops = std::exchange(n.outbox->effects.state_requests, {});
       if (ops.empty()) break;
       for (StateRequest& op : ops) {
         if (op.kind == StateRequest::Kind::kWatch) {
@@ -101,7 +101,7 @@
         if (served && !lost) r = state.Carry(now, i, op);
         if (r.ok() && op.kind == StateRequest::Kind::kList && op.key == keys::kJob)
           n.news_at = Clock(i);
-        n.asker->Reply(Clock(i), op.id, r);
+        n.outbox->Deliver(Clock(i), op.id, r);
       }
     }
     for (Watch& w : std::exchange(n.watches, {})) {
@@ -112,10 +112,10 @@
       const bool of_jobs = w.op.key == keys::kJob;
       if (w.held && !(n.hangs && of_jobs)) {
         if (of_jobs) n.news_at = Clock(i);
-        n.asker->Reply(Clock(i), w.op.id, *w.held);
+        n.outbox->Deliver(Clock(i), w.op.id, *w.held);
       } else if (now - w.sent > w.op.duration + kPatience) {
         StateResponse none;
-        n.asker->Reply(Clock(i), w.op.id, none);
+        n.outbox->Deliver(Clock(i), w.op.id, none);
       } else {
         n.watches.push_back(std::move(w));
       }
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -4,7 +4,7 @@
 #include <map>
 
 #include "check/small_state.h"
-#include "core/frontend/election.h"
+#include "core/election/election.h"
 
 namespace badgershore::check {
 namespace {
@@ -14,7 +14,7 @@
 class World : public Play {
  public:
   struct Node {
-    std::unique_ptr<Asker> asker;
+    std::unique_ptr<Outbox> outbox;
     std::unique_ptr<Election> election;
     std::vector<StateRequest> late;                         // sent, not carried out yet
     std::vector<std::pair<RequestId, StateResponse>> held;  // carried out, not answered yet
@@ -42,12 +42,12 @@
     n.held.clear();
     n.watches.clear();
     n.retiring = false;
-    n.asker = std::make_unique<Asker>();
+    n.outbox = std::make_unique<Outbox>();
     Election::Callbacks callbacks;
     callbacks.won = [](Micros) {};
     callbacks.lost = [](Micros) {};
     callbacks.control = [](Micros, const Entry&) {};
-    n.election = std::make_unique<Election>(n.asker.get(), Name(i), static_cast<int>(i), kLease,
+    n.election = std::make_unique<Election>(n.outbox.get(), Name(i), static_cast<int>(i), kLease,
                                             std::move(callbacks));
   }
 
@@ -56,7 +56,7 @@
   void Serve(size_t i, How how) {
     Node& n = nodes[i];
     for (int round = 0; round < 6; ++round) {
-      std::vector<StateRequest> ops = std::exchange(n.asker->out.state_requests, {});
+      std::vector<StateRequest> ops = std::exchange(n.outbox->effects.state_requests, {});
       if (ops.empty()) return;
       for (StateRequest& op : ops) {
         if (op.kind == StateRequest::Kind::kWatch) {
@@ -69,7 +69,7 @@
           if (how == How::kLateAnswer) {
             n.held.emplace_back(op.id, r);
           } else {
-            n.asker->Reply(Clock(i), op.id, r);
+            n.outbox->Deliver(Clock(i), op.id, r);
           }
         }
       }
@@ -82,7 +82,7 @@
       if (r.entries.empty()) {
         n.watches.push_back(op);
       } else {
-        n.asker->Reply(Clock(i), op.id, r);
+        n.outbox->Deliver(Clock(i), op.id, r);
       }
     }
   }
@@ -118,10 +118,10 @@
       return Serve(i, How::kAtOnce);
     }
     if (what == "answers") {
-      for (auto& [id, r] : std::exchange(n.held, {})) n.asker->Reply(Clock(i), id, r);
+      for (auto& [id, r] : std::exchange(n.held, {})) n.outbox->Deliver(Clock(i), id, r);
       for (const StateRequest& op : std::exchange(n.late, {})) {
         StateResponse r = state.Carry(now, i, op);
-        n.asker->Reply(Clock(i), op.id, r);
+        n.outbox->Deliver(Clock(i), op.id, r);
       }
       return Serve(i, How::kAtOnce);
     }
--- a/src/check/election_model.h
+++ b/src/check/election_model.h
@@ -1,4 +1,4 @@
-// Leadership of a cell as it ships (core/frontend/election), around a state service in which
+// Leadership of a cell as it ships (core/election/election), around a state service in which
 // requests are carried out late, answers are lost, nodes end and are back at once with requests of
 // their last life still under way, stand still (they do not tick while time passes) and hand over.
 // A world is the list of its events: the code under test is not copied but played again.
--- a/src/check/small_state.h
+++ b/src/check/small_state.h
@@ -57,7 +57,7 @@
     }
     return r;
   }
-  StateResponse Carry(Micros now, size_t asker, const StateRequest& op) {
+  StateResponse Carry(Micros now, size_t requester, const StateRequest& op) {
     using K = StateRequest::Kind;
     StateResponse r;
     r.outcome = StateResponse::Outcome::kOk;
@@ -69,7 +69,7 @@
         }
         break;
       case K::kGrantLease:
-        r.lease = lease_of_name ? asker + 1 : ++last_lease;
+        r.lease = lease_of_name ? requester + 1 : ++last_lease;
         leases[r.lease] = now + op.duration;
         break;
       case K::kRenewLease:
--- a/src/core/frontend/admission.cpp
+++ b/src/core/api/admission_control.cpp
@@ -1,4 +1,4 @@
-#include "core/frontend/admission.h"
+#include "core/api/admission_control.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,7 +14,7 @@
 
 }  // namespace
 
-void Admission::Fade(Micros now) {
+void AdmissionControl::Fade(Micros now) {
   const double share = std::exp(-(now - faded_at_).ToSeconds() / kWindow.ToSeconds());
   faded_at_ = now;
   for (auto it = tried_.begin(); it != tried_.end();) {
@@ -23,7 +23,7 @@
   }
 }
 
-int Admission::TurnAway(Micros now, const std::string& team) {
+int AdmissionControl::TurnAway(Micros now, const std::string& team) {
   Fade(now);
   if (now - limited_at_ < kCrowded) {
     double sum = 0;
--- a/src/core/frontend/admission.h
+++ b/src/core/api/admission_control.h
@@ -10,7 +10,7 @@
 
 namespace badgershore {
 
-class Admission {
+class AdmissionControl {
  public:
   // A submission of the team that would need a write. 0: it may be tried; else the seconds after
   // which its user is to come back.
--- a/src/core/frontend/frontend.cpp
+++ b/src/core/api/job_api.cpp
@@ -1,4 +1,4 @@
-#include "core/frontend/frontend.h"
+#include "core/api/job_api.h"
 
 namespace badgershore {
 namespace {
@@ -12,23 +12,23 @@
 
 }  // namespace
 
-void Frontend::Answer(RequestId token, int status, const std::string& id, JobPhase phase, int done,
-                      int running) {
-  asker_->out.api_responses.push_back({token, status, id, phase, done, running, "", 0});
+void JobApi::Answer(RequestId token, int status, const std::string& id, JobPhase phase, int done,
+                    int running) {
+  outbox_->effects.api_responses.push_back({token, status, id, phase, done, running, "", 0});
 }
 
-void Frontend::Refuse(RequestId token, int status, const std::string& id, std::string reason,
-                      int retry_after_s) {
+void JobApi::Refuse(RequestId token, int status, const std::string& id, std::string reason,
+                    int retry_after_s) {
   ApiResponse a;
   a.request_id = token;
   a.status = status;
   a.job = id;
   a.reason = std::move(reason);
   if (status == 503 || status == 429) a.retry_after_s = retry_after_s;
-  asker_->out.api_responses.push_back(std::move(a));
+  outbox_->effects.api_responses.push_back(std::move(a));
 }
 
-void Frontend::Remember(const std::string& id, const JobEndRecord& end) {
+void JobApi::Remember(const std::string& id, const JobEndRecord& end) {
   if (!finals_.emplace(id, end).second) return;
   finals_order_.push_back(id);
   if (finals_order_.size() > kFinals) {
@@ -37,7 +37,7 @@
   }
 }
 
-bool Frontend::AnswerFinal(RequestId token, const std::string& id) {
+bool JobApi::AnswerFinal(RequestId token, const std::string& id) {
   auto it = finals_.find(id);
   if (it == finals_.end()) return false;
   const JobEndRecord& end = it->second;
@@ -46,21 +46,21 @@
   return true;
 }
 
-void Frontend::AnswerLive(RequestId token, const std::string& id) {
+void JobApi::AnswerLive(RequestId token, const std::string& id) {
   const JobStatus d = facts_.digest(id);
   Answer(token, 200, id, d.running > 0 ? JobPhase::kRunning : JobPhase::kPending, d.done,
          d.running);
 }
 
-void Frontend::Read(RequestId token, const std::string& id, int missing_status,
-                    const std::string& reason, const OnRead& live) {
+void JobApi::Read(RequestId token, const std::string& id, int missing_status,
+                  const std::string& reason, const OnRead& live) {
   if (AnswerFinal(token, id)) return;
   const auto unread = [=, this] { Refuse(token, 503, id, "the state service can't be read"); };
-  asker_->State(GetOp(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
+  outbox_->SendState(GetOp(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
     if (job.ok()) return live(now, job);
     if (job.outcome != StateResponse::Outcome::kNotFound) return unread();
     // In this order: a job's record goes in the same change that writes its end.
-    asker_->State(GetOp(keys::kJobEnd + id), [=, this](Micros, StateResponse& end) {
+    outbox_->SendState(GetOp(keys::kJobEnd + id), [=, this](Micros, StateResponse& end) {
       if (end.outcome == StateResponse::Outcome::kNotFound) {
         return Refuse(token, missing_status, id, reason);
       }
@@ -74,7 +74,7 @@
   });
 }
 
-void Frontend::Submit(Micros now, RequestId token, Submission submission) {
+void JobApi::Submit(Micros now, RequestId token, Submission submission) {
   const std::string id = submission.id;
   if (id.empty()) return Refuse(token, 400, id, submission.reason);
   const auto live = [=, this](Micros, const StateResponse&) { AnswerLive(token, id); };
@@ -94,7 +94,7 @@
   op.kind = StateRequest::Kind::kCompareAndSwap;
   op.preconditions = {{keys::kJob + id, 0}, {keys::kJobEnd + id, 0}};
   op.mutations = {{keys::kJob + id, false, *submission.spec, 0}};
-  asker_->State(op, [=, this](Micros t, StateResponse& r) {
+  outbox_->SendState(op, [=, this](Micros t, StateResponse& r) {
     if (r.ok()) return Answer(token, 201, id, JobPhase::kPending);
     if (r.rate_limited) admission_.Limited(t);
     if (r.outcome == StateResponse::Outcome::kConflict) {
@@ -105,12 +105,12 @@
   });
 }
 
-void Frontend::Query(RequestId token, const std::string& id) {
+void JobApi::Query(RequestId token, const std::string& id) {
   Read(token, id, 404, "no such job",
        [=, this](Micros, const StateResponse&) { AnswerLive(token, id); });
 }
 
-void Frontend::Withdraw(RequestId token, const std::string& id, int rounds) {
+void JobApi::Withdraw(RequestId token, const std::string& id, int rounds) {
   Read(token, id, 404, "no such job", [=, this](Micros now, const StateResponse& job) {
     // Told before it is recorded, the leader starts nothing of it once its user has been answered.
     facts_.calls_off(now, id);
@@ -119,7 +119,7 @@
     op.preconditions = {{keys::kJob + id, job.entries[0].version}, {keys::kJobEnd + id, 0}};
     const JobEndRecord end{true, 0};
     op.mutations = {{keys::kJobEnd + id, false, end, 0}, {keys::kJob + id, true, {}, 0}};
-    asker_->State(op, [=, this](Micros t, StateResponse& r) {
+    outbox_->SendState(op, [=, this](Micros t, StateResponse& r) {
       if (r.ok()) {
         Remember(id, end);
         AnswerFinal(token, id);
--- a/src/core/frontend/frontend.h
+++ b/src/core/api/job_api.h
@@ -6,8 +6,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/frontend/admission.h"
-#include "core/frontend/asker.h"
+#include "core/api/admission_control.h"
+#include "core/outbox/outbox.h"
 
 namespace badgershore {
 
@@ -17,7 +17,7 @@
   std::string reason;
 };
 
-class Frontend {
+class JobApi {
  public:
   struct Facts {
     // Empty: can run. Otherwise why it never can.
@@ -29,7 +29,7 @@
     // Display counts of a live job.
     std::function<JobStatus(const std::string&)> digest;
   };
-  Frontend(Asker* asker, Facts facts) : asker_(asker), facts_(std::move(facts)) {}
+  JobApi(Outbox* outbox, Facts facts) : outbox_(outbox), facts_(std::move(facts)) {}
 
   void Submit(Micros now, RequestId token, Submission submission);
   void Query(RequestId token, const std::string& id);
@@ -48,9 +48,9 @@
   void Remember(const std::string& id, const JobEndRecord& end);
   void AnswerLive(RequestId token, const std::string& id);
 
-  Asker* asker_;
+  Outbox* outbox_;
   Facts facts_;
-  Admission admission_;
+  AdmissionControl admission_;
   // Ends never change, so they may be kept; the oldest fall out.
   static constexpr size_t kFinals = 4096;
   std::unordered_map<std::string, JobEndRecord> finals_;
--- a/src/core/frontend/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -1,4 +1,4 @@
-#include "core/frontend/controller.h"
+#include "core/controller/controller.h"
 
 namespace badgershore {
 
@@ -8,9 +8,9 @@
   for (const auto& m : settings_.members) position += m.name < settings_.member;
   Election::Callbacks callbacks;
   callbacks.won = [this](Micros now) {
-    asker_.Info("leading in term " + std::to_string(election_->term()));
+    outbox_.Info("leading in term " + std::to_string(election_->term()));
     LeaderContext context;
-    context.asker = &asker_;
+    context.outbox = &outbox_;
     context.settings = &settings_;
     context.options = &options_;
     context.election = election_.get();
@@ -25,15 +25,15 @@
     former_->Dismiss();
   };
   callbacks.control = [this](Micros now, const Entry& e) { OnControl(now, e); };
-  election_ = std::make_unique<Election>(&asker_, settings_.member, position, options_.lease,
+  election_ = std::make_unique<Election>(&outbox_, settings_.member, position, options_.lease,
                                          std::move(callbacks));
-  Frontend::Facts facts;
+  JobApi::Facts facts;
   facts.never_runs = [this](const JobSpec& s) { return NeverRuns(s); };
   facts.knows_types = [this] { return TypesKnown(); };
   facts.calls_off = [this](Micros now, const std::string& job) { CallOff(now, job, false); };
   facts.called_off = [this](Micros now, const std::string& job) { CallOff(now, job, true); };
   facts.digest = [this](const std::string& job) { return DigestOf(job); };
-  frontend_ = std::make_unique<Frontend>(&asker_, std::move(facts));
+  job_api_ = std::make_unique<JobApi>(&outbox_, std::move(facts));
 }
 
 bool Controller::TypesKnown() const {
@@ -104,15 +104,15 @@
   }
   members_->SetReach(now - state_ok_at_ < Seconds(2), now - checkin_at_ < Seconds(2));
   members_->Tick(now);
-  for (auto& m : members_->Take()) asker_.out.membership_messages.push_back(std::move(m));
+  for (auto& m : members_->Take()) outbox_.effects.membership_messages.push_back(std::move(m));
   for (const auto& m : settings_.members) {
     const bool firm = members_->Firm(now, m.name);
     if (firm && firm_.insert(m.name).second) {
       const auto& by = members_->Find(m.name)->by;
-      asker_.Info("suspects " + m.name + ", as " + std::to_string(by.size()) + " do in all");
+      outbox_.Info("suspects " + m.name + ", as " + std::to_string(by.size()) + " do in all");
     } else if (!firm && members_->Find(m.name)->state == membership::State::kAlive &&
                firm_.erase(m.name) > 0) {
-      asker_.Info(m.name + " is back");
+      outbox_.Info(m.name + " is back");
     }
   }
   election_->SetPosition(Turn(now));
@@ -137,7 +137,7 @@
 void Controller::OnMember(Micros now, const membership::Message& message) {
   if (!members_) return;
   members_->OnMessage(now, message);
-  for (auto& m : members_->Take()) asker_.out.membership_messages.push_back(std::move(m));
+  for (auto& m : members_->Take()) outbox_.effects.membership_messages.push_back(std::move(m));
 }
 
 // Of the peers heard of late: first those that reach the state service, then those that workers
@@ -164,10 +164,10 @@
 void Controller::Retire(Micros now) {
   if (!std::exchange(retiring_, true)) {
     retire_by_ = now + Millis(250);
-    asker_.Info("ends: its place goes to " + Successor(now));
+    outbox_.Info("ends: its place goes to " + Successor(now));
     if (members_) {
       members_->Leave(now);
-      for (auto& m : members_->Take()) asker_.out.membership_messages.push_back(std::move(m));
+      for (auto& m : members_->Take()) outbox_.effects.membership_messages.push_back(std::move(m));
     }
   }
   if (leader_ && leader_->recording() && now < retire_by_) return;
@@ -215,7 +215,7 @@
   if (leader_) return recorded ? leader_->CalledOff(now, job) : leader_->CallOff(now, job);
   PeerStatus note = NoteOf(now);
   (recorded ? note.cancelled : note.cancelling).push_back(job);
-  asker_.out.peer_statuses.push_back(std::move(note));
+  outbox_.effects.peer_statuses.push_back(std::move(note));
 }
 
 void Controller::Tick(Micros now, int64_t time_of_day_ms) {
@@ -229,13 +229,13 @@
     look_at_ = now + Millis(900);
     StateRequest op;
     op.key = keys::kLeader;
-    asker_.State(op, [this](Micros, StateResponse&) { looking_ = false; });
+    outbox_.SendState(op, [this](Micros, StateResponse&) { looking_ = false; });
   }
   if (now >= note_at_) {
     note_at_ = now + Millis(500);
     PeerStatus note = NoteOf(now);
     if (leader_) note.job_statuses = leader_->Digests();
-    asker_.out.peer_statuses.push_back(std::move(note));
+    outbox_.effects.peer_statuses.push_back(std::move(note));
   }
   if (retiring_) Retire(now);
   former_.reset();
@@ -246,18 +246,18 @@
       reply.outcome != StateResponse::Outcome::kUnknown) {
     state_ok_at_ = now;
   }
-  asker_.Reply(now, id, reply);
+  outbox_.Deliver(now, id, reply);
   former_.reset();
 }
 
 void Controller::OnCloud(Micros now, RequestId id, CloudResponse reply) {
-  asker_.Reply(now, id, reply);
+  outbox_.Deliver(now, id, reply);
   former_.reset();
 }
 
 void Controller::OnDirect(Micros now, RequestId id, CommandResponse reply) {
   if (reply.heartbeat) election_->NoteFencingToken(reply.heartbeat->fencing_token);
-  asker_.Reply(now, id, reply);
+  outbox_.Deliver(now, id, reply);
   former_.reset();
 }
 
@@ -273,32 +273,32 @@
     if (verdict != Leader::Verdict::kStale) checkin_at_ = now;
     if (verdict == Leader::Verdict::kLater) return;
     if (verdict == Leader::Verdict::kStale)
-      return asker_.out.heartbeat_responses.push_back(std::move(answer));
+      return outbox_.effects.heartbeat_responses.push_back(std::move(answer));
     if (verdict == Leader::Verdict::kAnswer) {
       answer.status = 200;
       answer.fencing_token = election_->term();
       answer.valid_until = leader_->GoodUntil(answer.commands);
-      asker_.out.heartbeat_responses.push_back(std::move(answer));
+      outbox_.effects.heartbeat_responses.push_back(std::move(answer));
       return;
     }
   }
   if (!leader_) checkin_at_ = now;
   answer.leader = LeaderName(now);
   answer.status = answer.leader.empty() ? 503 : 421;
-  asker_.out.heartbeat_responses.push_back(std::move(answer));
+  outbox_.effects.heartbeat_responses.push_back(std::move(answer));
   former_.reset();
 }
 
 void Controller::OnSubmit(Micros now, RequestId token, Submission submission) {
-  frontend_->Submit(now, token, std::move(submission));
+  job_api_->Submit(now, token, std::move(submission));
 }
 
 void Controller::OnQuery(Micros, RequestId token, const std::string& job) {
-  frontend_->Query(token, job);
+  job_api_->Query(token, job);
 }
 
 void Controller::OnWithdraw(Micros, RequestId token, const std::string& job) {
-  frontend_->Withdraw(token, job);
+  job_api_->Withdraw(token, job);
 }
 
 // Only leaders deal in rights; the others' word comes again.
--- a/src/core/frontend/controller.h
+++ b/src/core/controller/controller.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <unordered_map>
 
-#include "core/frontend/asker.h"
-#include "core/frontend/election.h"
-#include "core/frontend/frontend.h"
+#include "core/api/job_api.h"
+#include "core/election/election.h"
 #include "core/leader/leader.h"
+#include "core/outbox/outbox.h"
 #include "membership/members.h"
 
 namespace badgershore {
@@ -38,7 +38,7 @@
 
   bool Healthy(Micros now) const;
   bool leads() const { return election_->leads(); }
-  Effects Take() { return std::exchange(asker_.out, Effects{}); }
+  Effects Take() { return std::exchange(outbox_.effects, Effects{}); }
   // Who of the cell's controllers seems to be there; null before the first tick.
   const membership::Members* members() const { return members_ ? &*members_ : nullptr; }
   const Leader* leader() const { return leader_.get(); }
@@ -58,11 +58,11 @@
 
   PlatformSettings settings_;
   Options options_;
-  Asker asker_;
+  Outbox outbox_;
   std::map<std::string, MachineType> types_;
   int type_count_ = -1;
   std::unique_ptr<Election> election_;
-  std::unique_ptr<Frontend> frontend_;
+  std::unique_ptr<JobApi> job_api_;
   std::unique_ptr<Leader> leader_;
   std::unique_ptr<Leader> former_;  // freed when no call of its is on the stack
   int64_t time_of_day_ms_ = 0;
--- a/src/core/frontend/election.cpp
+++ b/src/core/election/election.cpp
@@ -1,4 +1,4 @@
-#include "core/frontend/election.h"
+#include "core/election/election.h"
 
 namespace badgershore {
 
@@ -6,15 +6,15 @@
 constexpr Micros kNamedFirst = Millis(600);  // others wait so long for who was named
 }  // namespace
 
-Election::Election(Asker* asker, std::string member, int position, Micros lease,
+Election::Election(Outbox* outbox, std::string member, int position, Micros lease,
                    Callbacks callbacks)
-    : asker_(asker),
+    : outbox_(outbox),
       member_(std::move(member)),
       position_(position),
       lease_(lease),
       callbacks_(std::move(callbacks)),
-      mirror_(
-          asker, keys::kControl, [this](Micros now, const Entry& e) { OnControl(now, e); },
+      control_cache_(
+          outbox, keys::kControl, [this](Micros now, const Entry& e) { OnControl(now, e); },
           [](Micros) {}) {}
 
 void Election::OnControl(Micros now, const Entry& e) {
@@ -30,7 +30,7 @@
     if (lead && !e.deleted) leader_ = lead->leader;
     // Only what was there before the first look can be a last life's. It is over: this process has
     // its address. Its lease need not be waited out, and its word counts for nothing.
-    if (!mirror_.synced() && !leads() && leader_ == member_) {
+    if (!control_cache_.synced() && !leads() && leader_ == member_) {
       last_life_ = e.version;
       leader_.clear();
     }
@@ -74,7 +74,7 @@
   commit.mutations = {{keys::kLeader, true, {}, 0},
                       {keys::kSuccessor, false, LeaderRecord{successor, term_}, 0}};
   (void)now;
-  asker_->State(commit, [this, successor](Micros t, StateResponse& r) {
+  outbox_->SendState(commit, [this, successor](Micros t, StateResponse& r) {
     handing_over_ = false;
     // Done, or told so by the watch meanwhile; without an answer the lease is ended, which is the
     // same but for the name.
@@ -84,8 +84,9 @@
 }
 
 void Election::Tick(Micros now) {
-  mirror_.Tick(now);
-  if (role_ == Role::kFollower && !retiring_ && mirror_.synced() && Vacant() && now >= stand_at_) {
+  control_cache_.Tick(now);
+  if (role_ == Role::kFollower && !retiring_ && control_cache_.synced() && Vacant() &&
+      now >= stand_at_) {
     Stand(now);
   }
   if (leads() && !renewing_ && now >= renew_at_) Renew(now);
@@ -97,7 +98,7 @@
   StateRequest grant;
   grant.kind = StateRequest::Kind::kGrantLease;
   grant.duration = lease_;
-  asker_->State(grant, [this, sent = now](Micros, StateResponse& r) {
+  outbox_->SendState(grant, [this, sent = now](Micros, StateResponse& r) {
     if (!r.ok()) {
       role_ = Role::kFollower;
       return;
@@ -110,7 +111,7 @@
                             {keys::kTerm, seen_term_stamp_}};
     commit.mutations = {{keys::kLeader, false, LeaderRecord{member_, term}, lease},
                         {keys::kTerm, false, TermRecord{term, member_}, 0}};
-    asker_->State(commit, [this, sent, lease, term](Micros now, StateResponse& r) {
+    outbox_->SendState(commit, [this, sent, lease, term](Micros now, StateResponse& r) {
       if (!r.ok()) {
         // With no answer the key may be ours or yet become ours: end the lease, so that a late
         // commit can't hold the place for nobody.
@@ -118,7 +119,7 @@
         StateRequest drop;
         drop.kind = StateRequest::Kind::kRevokeLease;
         drop.lease = lease;
-        asker_->State(drop, [](Micros, StateResponse&) {});
+        outbox_->SendState(drop, [](Micros, StateResponse&) {});
         return;
       }
       role_ = Role::kLeader;
@@ -141,7 +142,7 @@
   StateRequest touch;
   touch.kind = StateRequest::Kind::kRenewLease;
   touch.lease = lease_id_;
-  asker_->State(touch, [this, sent = now, term = term_](Micros now, StateResponse& r) {
+  outbox_->SendState(touch, [this, sent = now, term = term_](Micros now, StateResponse& r) {
     if (!leads() || term != term_) return;
     renewing_ = false;
     if (r.ok()) {
@@ -168,19 +169,19 @@
     out += std::to_string(n) + ' ';
   }
   return out + (renewing_ ? "r" : "") + (retiring_ ? "e" : "") + (handing_over_ ? "h" : "") +
-         (mirror_.synced() ? "s" : "");
+         (control_cache_.synced() ? "s" : "");
 }
 
 void Election::StepDown(Micros now, const std::string& why, Micros aside) {
   if (!leads()) return;
-  asker_->Info("stepping down from term " + std::to_string(term_) + ": " + why);
+  outbox_->Info("stepping down from term " + std::to_string(term_) + ": " + why);
   role_ = Role::kFollower;
   if (leader_ == member_) leader_.clear();
   stand_at_ = now + aside;
   StateRequest drop;
   drop.kind = StateRequest::Kind::kRevokeLease;
   drop.lease = lease_id_;
-  asker_->State(drop, [](Micros, StateResponse&) {});
+  outbox_->SendState(drop, [](Micros, StateResponse&) {});
   callbacks_.lost(now);
 }
 
--- a/src/core/frontend/election.h
+++ b/src/core/election/election.h
@@ -4,8 +4,8 @@
 #include <functional>
 #include <string>
 
-#include "core/frontend/asker.h"
-#include "core/frontend/mirror.h"
+#include "core/outbox/key_range_cache.h"
+#include "core/outbox/outbox.h"
 
 namespace badgershore {
 
@@ -19,7 +19,7 @@
     std::function<void(Micros)> lost;
     std::function<void(Micros, const Entry&)> control;  // other entries under ctl/
   };
-  Election(Asker* asker, std::string member, int position, Micros lease, Callbacks callbacks);
+  Election(Outbox* outbox, std::string member, int position, Micros lease, Callbacks callbacks);
 
   void Tick(Micros now);
   // `aside`: no standing again before.
@@ -47,7 +47,7 @@
   void NoteFencingToken(uint64_t fencing_token) {
     seen_fencing_token_ = std::max(seen_fencing_token_, fencing_token);
   }
-  bool synced() const { return mirror_.synced(); }
+  bool synced() const { return control_cache_.synced(); }
   // All that it goes by, with times from now on: equal for states that go on alike.
   std::string Show(Micros now) const;
 
@@ -63,12 +63,12 @@
     return sent + lease_.Scaled(1 - kClockDrift) - Millis(50);
   }
 
-  Asker* asker_;
+  Outbox* outbox_;
   std::string member_;
   int position_;
   Micros lease_;
   Callbacks callbacks_;
-  Mirror mirror_;
+  KeyRangeCache control_cache_;
   Role role_ = Role::kFollower;
   uint64_t term_ = 0, term_stamp_ = 0, lease_id_ = 0;
   Micros lease_until_, confirmed_at_, renew_at_;
--- a/src/core/frontend/leader_authority.h
+++ b/src/core/election/leader_authority.h
@@ -10,15 +10,15 @@
 
 #include <algorithm>
 
-#include "core/frontend/election.h"
-#include "core/frontend/mirror.h"
+#include "core/election/election.h"
+#include "core/outbox/key_range_cache.h"
 
 namespace badgershore {
 
 class LeaderAuthority {
  public:
   // `jobs`: the copy of the live jobs' records, which a cancellation deletes.
-  LeaderAuthority(const Election* election, const Mirror* jobs, Micros cancel_within,
+  LeaderAuthority(const Election* election, const KeyRangeCache* jobs, Micros cancel_within,
                   Micros worker_lease, Micros lease)
       : election_(election),
         jobs_(jobs),
@@ -48,7 +48,7 @@
   static constexpr Micros kMargin = Seconds(2);
 
   const Election* election_;
-  const Mirror* jobs_;
+  const KeyRangeCache* jobs_;
   Micros answering_, fresh_;
 };
 
--- a/src/core/leader/blame.cpp
+++ b/src/core/leader/blame.cpp
@@ -59,7 +59,7 @@
 
 // Its machines are cleared of it, and its tasks leave their queues.
 void Blame::Condemn(Micros now, Job* job) {
-  asker()->Info("job " + job->spec.id + " fails wherever it starts: one task at a time");
+  outbox()->Info("job " + job->spec.id + " fails wherever it starts: one task at a time");
   job->next_probe_at = now;
   for (const auto& [id, m] : machine_table().machines()) {
     if (m->failed_jobs.erase(job->spec.id) > 0 && m->failed_jobs.empty())
--- a/src/core/leader/checkins.cpp
+++ b/src/core/leader/checkins.cpp
@@ -90,7 +90,7 @@
 void Checkins::Dismiss() {
   for (const auto& [id, m] : machine_table().machines()) {
     for (const RequestId token : std::exchange(m->pending_heartbeats, {})) {
-      asker()->out.heartbeat_responses.push_back({token, 503, "", 0, {}});
+      outbox()->effects.heartbeat_responses.push_back({token, 503, "", 0, {}});
     }
   }
 }
@@ -123,7 +123,7 @@
     // Only the newest one is certain to be awaited still.
     if (i + 1 == m->pending_heartbeats.size()) OrdersFor(now, m, &answer.commands);
     answer.valid_until = GoodUntil(answer.commands);
-    asker()->out.heartbeat_responses.push_back(std::move(answer));
+    outbox()->effects.heartbeat_responses.push_back(std::move(answer));
   }
   m->pending_heartbeats.clear();
 }
--- a/src/core/leader/gangs.cpp
+++ b/src/core/leader/gangs.cpp
@@ -349,8 +349,8 @@
     lost += loss.ToSeconds() * static_cast<double>(o->need.cpu) / 1000;
   }
   if (!any) return;
-  asker()->Debug("clearing " + m->id + " for gang " + gang.spec.id + ", " +
-                 std::to_string(static_cast<int>(lost)) + " CPU seconds lost");
+  outbox()->Debug("clearing " + m->id + " for gang " + gang.spec.id + ", " +
+                  std::to_string(static_cast<int>(lost)) + " CPU seconds lost");
   dispatch().Unbind(m);
   machine_table().HaltNow(now, m);
 }
@@ -418,8 +418,8 @@
       occupancy().Place(now, chosen[k], job, members[k], job->gang_attempt)->start_unsent = true;
     }
     Release(job);
-    asker()->Debug("gang " + job->spec.id + " placed on " + chosen[0]->id + " after " +
-                   std::to_string((now - job->submitted_at).ToMillis()) + " ms");
+    outbox()->Debug("gang " + job->spec.id + " placed on " + chosen[0]->id + " after " +
+                    std::to_string((now - job->submitted_at).ToMillis()) + " ms");
     return true;
   }
   return false;
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -76,8 +76,8 @@
   }
   job->cancel_pending = called_off_.contains(spec.id);
   jobs_[spec.id] = std::move(job);
-  asker()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
-                 " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
+  outbox()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
+                  " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
 }
 
 void JobTable::CallOff(Micros now, const std::string& id) {
@@ -118,7 +118,7 @@
   CloseJob(now, job);
   if (job->IsGang()) gangs().Forget(job);
   sharing().Forget(job);
-  asker()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
+  outbox()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
   jobs_.erase(it);
   for (auto& [mid, m] : machine_table().machines()) {
     bool any = false;
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -51,8 +51,9 @@
   context_.checkins = &checkins_;
   context_.sharing = &sharing_;
   context_.supervisor = &supervisor_;
-  jobs_mirror_ = std::make_unique<Mirror>(
-      context_.asker, keys::kJob, [this](Micros t, const Entry& e) { job_table_.OnJobEntry(t, e); },
+  jobs_mirror_ = std::make_unique<KeyRangeCache>(
+      context_.outbox, keys::kJob,
+      [this](Micros t, const Entry& e) { job_table_.OnJobEntry(t, e); },
       [this](Micros) {
         if (std::exchange(jobs_loaded_, true)) return;
         // Progress is read after the jobs, so that each finds its job.
@@ -76,7 +77,7 @@
   op.kind = StateRequest::Kind::kList;
   op.key = prefix;
   op.start_after = after;
-  context_.asker->State(op, [=, this, alive = context_.alive](Micros now, StateResponse& r) {
+  context_.outbox->SendState(op, [=, this, alive = context_.alive](Micros now, StateResponse& r) {
     if (!*alive) return;
     // Not at once: in an outage that would use up the node's requests, and its users' with them.
     if (!r.ok()) return load_again_.push_back({now + kLoadPause, prefix, after});
@@ -93,9 +94,9 @@
   if (--loading_ > 0) return;
   ready_ = true;
   rights_.Begin(now);
-  context_.asker->Info("term " + std::to_string(context_.election->term()) +
-                       " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
-                       std::to_string(machine_table_.machines().size()) + " machines on record");
+  context_.outbox->Info("term " + std::to_string(context_.election->term()) +
+                        " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
+                        std::to_string(machine_table_.machines().size()) + " machines on record");
   for (auto& [id, job] : job_table_.jobs()) {
     if (job->remaining() == 0) recorder_.Finish(id);
   }
@@ -114,13 +115,13 @@
       answer.fencing_token = context_.election->term();
       answer.valid_until = GoodUntil(answer.commands);
     }
-    context_.asker->out.heartbeat_responses.push_back(std::move(answer));
+    context_.outbox->effects.heartbeat_responses.push_back(std::move(answer));
   }
 }
 
 void Leader::Dismiss() {
   for (const EarlyReport& e : std::exchange(early_, {})) {
-    context_.asker->out.heartbeat_responses.push_back({e.token, 503, "", 0, {}});
+    context_.outbox->effects.heartbeat_responses.push_back({e.token, 503, "", 0, {}});
   }
   checkins_.Dismiss();
 }
@@ -146,7 +147,7 @@
   }
   for (const Load& load : due) LoadPrefix(load.prefix, load.after);
   while (!early_.empty() && now - early_.front().at > kEarlyPatience) {
-    context_.asker->out.heartbeat_responses.push_back({early_.front().token, 503, "", 0, {}});
+    context_.outbox->effects.heartbeat_responses.push_back({early_.front().token, 503, "", 0, {}});
     early_.pop_front();
   }
   if (!ready_) return;
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -7,7 +7,6 @@
 #include <string>
 #include <vector>
 
-#include "core/frontend/mirror.h"
 #include "core/leader/blame.h"
 #include "core/leader/checkins.h"
 #include "core/leader/dispatch.h"
@@ -21,6 +20,7 @@
 #include "core/leader/rights.h"
 #include "core/leader/sharing.h"
 #include "core/leader/supervisor.h"
+#include "core/outbox/key_range_cache.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
@@ -74,7 +74,7 @@
     std::string prefix, after;
   };
   std::vector<Load> load_again_;
-  std::unique_ptr<Mirror> jobs_mirror_;
+  std::unique_ptr<KeyRangeCache> jobs_mirror_;
   std::unique_ptr<LeaderAuthority> authority_;
   struct EarlyReport {
     Micros at;
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -80,10 +80,10 @@
   m->reconciled = true;
   occupancy().Review(m);
   unresolved_.erase(std::remove(unresolved_.begin(), unresolved_.end(), m), unresolved_.end());
-  asker()->Debug("machine " + m->id + " resolved");
+  outbox()->Debug("machine " + m->id + " resolved");
   if (unresolved_.empty()) {
-    asker()->Info("all machines resolved " + std::to_string((now - began()).ToMillis()) +
-                  " ms into the term");
+    outbox()->Info("all machines resolved " + std::to_string((now - began()).ToMillis()) +
+                   " ms into the term");
   }
 }
 
@@ -110,7 +110,7 @@
   dispatch().Unbind(m);
   DropAll(now, m);
   for (RequestId token : m->pending_heartbeats) {
-    asker()->out.heartbeat_responses.push_back({token, 503, "", 0, {}});
+    outbox()->effects.heartbeat_responses.push_back({token, 503, "", 0, {}});
   }
   recorder().Left(now, id);
   tombstones_[id] = now;
@@ -122,9 +122,9 @@
   // Past the lease it may be another leader's, with its work on it. What speaks against it is seen
   // again once the lease is confirmed.
   if (!election()->MayStart(now)) return;
-  asker()->Info("returning " + m->id + " (" + m->type_name + (m->spot ? ", spot" : "") +
-                "): " + why + ", held " +
-                std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) + " s");
+  outbox()->Info("returning " + m->id + " (" + m->type_name + (m->spot ? ", spot" : "") +
+                 "): " + why + ", held " +
+                 std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) + " s");
   dispatch().Unbind(m);
   m->stage = MachineStage::kTerminating;
   provisioner().Return(m->id);
@@ -144,11 +144,11 @@
     }
   }
   if (op.commands.empty()) return;
-  asker()->Direct(op, Guarded([this, id = m->id](Micros t, CommandResponse& r) {
-                    Machine* machine = Find(id);
-                    if (machine && r.heartbeat && r.status == 200)
-                      Absorb(t, machine, *r.heartbeat, false);
-                  }));
+  outbox()->SendCommand(op, Guarded([this, id = m->id](Micros t, CommandResponse& r) {
+                          Machine* machine = Find(id);
+                          if (machine && r.heartbeat && r.status == 200)
+                            Absorb(t, machine, *r.heartbeat, false);
+                        }));
 }
 
 // Raises the fencing token at a machine and learns what is on it.
@@ -162,7 +162,7 @@
   op.endpoint = m->endpoint;
   op.fencing_token = election()->term();
   op.agent_epoch = std::max<uint64_t>(m->agent_epoch, 1);
-  asker()->Direct(
+  outbox()->SendCommand(
       op, Guarded([this, id = m->id, asked = op.agent_epoch](Micros t, CommandResponse& r) {
         Machine* machine = Find(id);
         if (!machine) return;
@@ -216,15 +216,15 @@
       if (p.get() != m && p->stage == MachineStage::kUp) peers.push_back(p.get());
     }
     LevelCounters(m, peers);
-    asker()->Info("machine " + m->id + " (" + m->type_name + (m->spot ? ", spot" : "") + ") up " +
-                  std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) +
-                  " s after its request");
+    outbox()->Info("machine " + m->id + " (" + m->type_name + (m->spot ? ", spot" : "") + ") up " +
+                   std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) +
+                   " s after its request");
   }
   if (r.preemption_notice && !m->preemption_at) {
     m->preemption_at = now + *r.preemption_notice;
     dispatch().Unbind(m);
-    asker()->Info("machine " + m->id + " will be taken in " +
-                  std::to_string(r.preemption_notice->ToSeconds()) + " s");
+    outbox()->Info("machine " + m->id + " will be taken in " +
+                   std::to_string(r.preemption_notice->ToSeconds()) + " s");
   }
   std::set<std::pair<TaskRef, uint64_t>> listed;
   for (const TaskStatus& t : r.tasks) {
@@ -270,8 +270,8 @@
       if (o.job->IsGang() &&
           (t.phase == TaskPhase::kRunning || t.phase == TaskPhase::kCheckpointing)) {
         if (!o.job->gang_attempt_ran) {
-          asker()->Debug("gang " + o.job->spec.id + " runs after " +
-                         std::to_string((now - o.job->submitted_at).ToMillis()) + " ms");
+          outbox()->Debug("gang " + o.job->spec.id + " runs after " +
+                          std::to_string((now - o.job->submitted_at).ToMillis()) + " ms");
         }
         if (!std::exchange(o.job->gang_attempt_ran, true)) o.job->progressed_at = now;
         o.job->has_run = true;
@@ -317,8 +317,8 @@
   }
   Micros pause;
   if (cause == ExitReason::kError) {
-    asker()->Debug("task " + o->ref.job + "/" + std::to_string(o->ref.task) + " failed on " +
-                   m->id);
+    outbox()->Debug("task " + o->ref.job + "/" + std::to_string(o->ref.task) + " failed on " +
+                    m->id);
     const Blame::Verdict verdict = blame().Failed(now, m, job, o->ref.task);
     pause = verdict.pause;
     if (verdict.machine_at_fault) GiveBack(now, m, "its tasks fail");
@@ -397,7 +397,7 @@
       checkins().AnswerHeld(now, m);
     if (holds && m->agent_lease_until.count > 0 && now > m->agent_lease_until &&
         (!m->allocations.empty() || !m->reconciled)) {
-      asker()->Info("the lease of " + id + " has run out");
+      outbox()->Info("the lease of " + id + " has run out");
       DropAll(now, m);
       Resolve(now, m);
       m->first_answered_at = {-1};
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -7,11 +7,11 @@
 #include <memory>
 #include <string>
 
-#include "core/frontend/asker.h"
-#include "core/frontend/election.h"
-#include "core/frontend/leader_authority.h"
+#include "core/election/election.h"
+#include "core/election/leader_authority.h"
 #include "core/model/settings.h"
 #include "core/model/types.h"
+#include "core/outbox/outbox.h"
 
 namespace badgershore {
 
@@ -30,7 +30,7 @@
 class Supervisor;
 
 struct LeaderContext {
-  Asker* asker = nullptr;
+  Outbox* outbox = nullptr;
   const PlatformSettings* settings = nullptr;
   const Options* options = nullptr;
   Election* election = nullptr;
@@ -64,7 +64,7 @@
   Part& operator=(const Part&) = delete;
 
  protected:
-  Asker* asker() const { return context_->asker; }
+  Outbox* outbox() const { return context_->outbox; }
   const PlatformSettings& settings() const { return *context_->settings; }
   const Options& options() const { return *context_->options; }
   Election* election() const { return context_->election; }
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -34,31 +34,31 @@
 void Provisioner::AskTypes(Micros now) {
   asking_types_ = true;
   (void)now;
-  asker()->Cloud(CloudRequest{}, Guarded([this](Micros t, CloudResponse& r) {
-                   asking_types_ = false;
-                   types_at_ = t + (r.ok() ? Seconds(30) : Seconds(2));
-                   if (!r.ok()) return;
-                   bool changed = !types_known();
-                   std::map<std::string, MachineType> found;
-                   for (const MachineType& type : r.types) {
-                     found[type.name] = type;
-                     auto it = types().find(type.name);
-                     if (it == types().end()) {
-                       changed = true;
-                       continue;
-                     }
-                     // Prices move all the time; they are followed here and not written again.
-                     MachineType same = it->second;
-                     same.price = type.price;
-                     same.spot_price = type.spot_price;
-                     if (same == type) {
-                       it->second = type;
-                     } else {
-                       changed = true;
-                     }
-                   }
-                   recorder().KeepTypes(std::move(found), changed);
-                 }));
+  outbox()->SendCloud(CloudRequest{}, Guarded([this](Micros t, CloudResponse& r) {
+                        asking_types_ = false;
+                        types_at_ = t + (r.ok() ? Seconds(30) : Seconds(2));
+                        if (!r.ok()) return;
+                        bool changed = !types_known();
+                        std::map<std::string, MachineType> found;
+                        for (const MachineType& type : r.types) {
+                          found[type.name] = type;
+                          auto it = types().find(type.name);
+                          if (it == types().end()) {
+                            changed = true;
+                            continue;
+                          }
+                          // Prices move all the time; they are followed here and not written again.
+                          MachineType same = it->second;
+                          same.price = type.price;
+                          same.spot_price = type.spot_price;
+                          if (same == type) {
+                            it->second = type;
+                          } else {
+                            changed = true;
+                          }
+                        }
+                        recorder().KeepTypes(std::move(found), changed);
+                      }));
 }
 
 void Provisioner::ListMachines(Micros now, const std::string& after) {
@@ -66,7 +66,7 @@
   CloudRequest op;
   op.kind = CloudRequest::Kind::kListInstances;
   op.start_after = after;
-  asker()->Cloud(
+  outbox()->SendCloud(
       op, Guarded([this](Micros t, CloudResponse& r) {
         listing_ = false;
         list_at_ = t + Seconds(2);
@@ -121,8 +121,8 @@
   const std::string name =
       "t" + std::to_string(election()->term()) + "-" + std::to_string(++rents_);
   pending_[name] = PendingRent{offer, count, 0, false, now};
-  asker()->Info("renting " + std::to_string(count) + " " + offer.type +
-                (offer.spot ? " (spot)" : "") + " in " + offer.zone + " as " + name);
+  outbox()->Info("renting " + std::to_string(count) + " " + offer.type +
+                 (offer.spot ? " (spot)" : "") + " in " + offer.zone + " as " + name);
   SendRent(now, name);
 }
 
@@ -138,31 +138,28 @@
   op.spot = rent.offer.spot;
   op.count = rent.count;
   op.valid_until = election()->lease_until();
-  asker()->Cloud(op, Guarded([this, name](Micros t, CloudResponse& r) {
-                   auto it = pending_.find(name);
-                   if (it == pending_.end()) return;
-                   PendingRent& p = it->second;
-                   p.asking = false;
-                   if (r.ok()) {
-                     for (const std::string& id : r.created) {
-                       if (machine_table().Buried(id)) continue;
-                       Machine* m = machine_table().Adopt(t, id, "", p.offer.type, p.offer.zone,
-                                                          p.offer.spot);
-                       m->rented_at = std::min(m->rented_at, t);
-                     }
-                     if (r.created.size() < static_cast<size_t>(p.count))
-                       scaler().Refused(p.offer, t);
-                     pending_.erase(it);
-                   } else if (r.outcome == CloudResponse::Outcome::kUnknown && ++p.tries < 6) {
-                     p.retry_at = t + Seconds(1);  // the same name: it may have been carried out
-                   } else {
-                     if (r.outcome == CloudResponse::Outcome::kNoCapacity)
-                       scaler().Refused(p.offer, t);
-                     if (r.outcome == CloudResponse::Outcome::kThrottled)
-                       scale_at_ = t + Seconds(2);
-                     pending_.erase(it);
-                   }
-                 }));
+  outbox()->SendCloud(
+      op, Guarded([this, name](Micros t, CloudResponse& r) {
+        auto it = pending_.find(name);
+        if (it == pending_.end()) return;
+        PendingRent& p = it->second;
+        p.asking = false;
+        if (r.ok()) {
+          for (const std::string& id : r.created) {
+            if (machine_table().Buried(id)) continue;
+            Machine* m = machine_table().Adopt(t, id, "", p.offer.type, p.offer.zone, p.offer.spot);
+            m->rented_at = std::min(m->rented_at, t);
+          }
+          if (r.created.size() < static_cast<size_t>(p.count)) scaler().Refused(p.offer, t);
+          pending_.erase(it);
+        } else if (r.outcome == CloudResponse::Outcome::kUnknown && ++p.tries < 6) {
+          p.retry_at = t + Seconds(1);  // the same name: it may have been carried out
+        } else {
+          if (r.outcome == CloudResponse::Outcome::kNoCapacity) scaler().Refused(p.offer, t);
+          if (r.outcome == CloudResponse::Outcome::kThrottled) scale_at_ = t + Seconds(2);
+          pending_.erase(it);
+        }
+      }));
 }
 
 void Provisioner::Scale(Micros now) {
@@ -195,7 +192,7 @@
   const ScalePlan plan = scaler().Decide(view);
   for (Machine* m : plan.unretire) m->draining = false;
   for (Machine* m : plan.retire) {
-    asker()->Debug("retiring " + m->id);
+    outbox()->Debug("retiring " + m->id);
     m->draining = true;
     dispatch().Unbind(m);
     // Replicas end only when they are told to; they go on elsewhere.
@@ -220,9 +217,9 @@
       booting += m->stage == MachineStage::kBooting;
       up += m->stage == MachineStage::kUp;
     }
-    asker()->Debug("machines up " + std::to_string(up) + " booting " + std::to_string(booting) +
-                   " jobs " + std::to_string(job_table().jobs().size()) + "; " +
-                   scaler().Summary() + occupancy().Summary() + rights().Summary());
+    outbox()->Debug("machines up " + std::to_string(up) + " booting " + std::to_string(booting) +
+                    " jobs " + std::to_string(job_table().jobs().size()) + "; " +
+                    scaler().Summary() + occupancy().Summary() + rights().Summary());
   }
 }
 
@@ -257,10 +254,10 @@
     const auto percent = [held = p.held](double part) {
       return std::to_string(static_cast<int>(100 * part / held)) + "%";
     };
-    asker()->Debug("paid " + offer.type + (offer.spot ? " (spot) " : " ") +
-                   std::to_string(static_cast<int>(p.held)) + " s: boot " + percent(p.boot) +
-                   ", run " + percent(p.used) + ", fetch " + percent(p.fetching) + ", no work " +
-                   percent(p.short_of_work));
+    outbox()->Debug("paid " + offer.type + (offer.spot ? " (spot) " : " ") +
+                    std::to_string(static_cast<int>(p.held)) + " s: boot " + percent(p.boot) +
+                    ", run " + percent(p.used) + ", fetch " + percent(p.fetching) + ", no work " +
+                    percent(p.short_of_work));
   }
 }
 
@@ -273,16 +270,16 @@
   const size_t n = std::min<size_t>(return_queue_.size(), 100);
   op.machines.assign(return_queue_.begin(), return_queue_.begin() + static_cast<long>(n));
   return_queue_.erase(return_queue_.begin(), return_queue_.begin() + static_cast<long>(n));
-  asker()->Cloud(op, Guarded([this, names = op.machines](Micros t, CloudResponse& r) {
-                   returning_ = false;
-                   if (!r.ok()) {
-                     return_at_ = t + Seconds(1);
-                     return_queue_.insert(return_queue_.end(), names.begin(), names.end());
-                     return;
-                   }
-                   // The cloud's word is the proof that the machines and all on them are gone.
-                   for (const std::string& id : names) machine_table().Remove(t, id);
-                 }));
+  outbox()->SendCloud(op, Guarded([this, names = op.machines](Micros t, CloudResponse& r) {
+                        returning_ = false;
+                        if (!r.ok()) {
+                          return_at_ = t + Seconds(1);
+                          return_queue_.insert(return_queue_.end(), names.begin(), names.end());
+                          return;
+                        }
+                        // The cloud's word is the proof that the machines and all on them are gone.
+                        for (const std::string& id : names) machine_table().Remove(t, id);
+                      }));
 }
 
 }  // namespace badgershore
--- a/src/core/leader/recorder.cpp
+++ b/src/core/leader/recorder.cpp
@@ -225,7 +225,8 @@
   batch->changes = op.mutations.size();
   write_tokens_ -= static_cast<double>(batch->changes);
   writing_ = true;
-  asker()->State(op, Guarded([this, batch](Micros t, StateResponse& r) { Written(t, batch, r); }));
+  outbox()->SendState(op,
+                      Guarded([this, batch](Micros t, StateResponse& r) { Written(t, batch, r); }));
 }
 
 void Recorder::Written(Micros now, const std::shared_ptr<Batch>& batch, StateResponse& r) {
@@ -272,11 +273,11 @@
     if (sound(keys::kJob + id) && sound(keys::kJobEnd + id)) continue;
     StateRequest get;
     get.key = keys::kJob + id;
-    asker()->State(get, Guarded([this, id](Micros t, StateResponse& g) {
-                     if (g.outcome == StateResponse::Outcome::kNotFound)
-                       return job_table().EndJob(t, id);
-                     finish_queue_.push_back(id);
-                   }));
+    outbox()->SendState(get, Guarded([this, id](Micros t, StateResponse& g) {
+                          if (g.outcome == StateResponse::Outcome::kNotFound)
+                            return job_table().EndJob(t, id);
+                          finish_queue_.push_back(id);
+                        }));
   }
   for (const Batch::Piece& piece : batch->pieces) {
     const bool again = sound(piece.page->key);
@@ -290,16 +291,17 @@
 void Recorder::LookAtPage(Pages* pages, Pages::Page* page) {
   StateRequest get;
   get.key = page->key;
-  asker()->State(get, Guarded([pages, page](Micros t, StateResponse& g) {
-                   if (g.ok() && !g.entries.empty()) {
-                     page->stamp = g.entries[0].version;
-                   } else if (g.outcome == StateResponse::Outcome::kNotFound) {
-                     page->stamp = 0;
-                   }
-                   // Not known still: the guard fails if it has changed, and it is looked at again.
-                   page->unsure = false;
-                   pages->Touch(page, true, t);
-                 }));
+  outbox()->SendState(get, Guarded([pages, page](Micros t, StateResponse& g) {
+                        if (g.ok() && !g.entries.empty()) {
+                          page->stamp = g.entries[0].version;
+                        } else if (g.outcome == StateResponse::Outcome::kNotFound) {
+                          page->stamp = 0;
+                        }
+                        // Not known still: the guard fails if it has changed, and it is looked at
+                        // again.
+                        page->unsure = false;
+                        pages->Touch(page, true, t);
+                      }));
 }
 
 }  // namespace badgershore
--- a/src/core/leader/rights.cpp
+++ b/src/core/leader/rights.cpp
@@ -67,7 +67,7 @@
   const std::string& why = escrow_->standing_by();
   if (!why.empty() && why != told_) {
     told_ = why;
-    asker()->Log(LogLine::Level::kError, "limits stand by, only the floor is used: " + why);
+    outbox()->Log(LogLine::Level::kError, "limits stand by, only the floor is used: " + why);
   }
 }
 
@@ -157,7 +157,7 @@
       }
     }
     send.message = std::move(note);
-    asker()->out.cell_deliveries.push_back(std::move(send));
+    outbox()->effects.cell_deliveries.push_back(std::move(send));
   }
 }
 
@@ -172,9 +172,9 @@
   op.kind = StateRequest::Kind::kCompareAndSwap;
   op.preconditions = {{keys::kTerm, election()->term_stamp()}, {keys::kEscrow, stamp_}};
   op.mutations.push_back({keys::kEscrow, false, *record, 0});
-  asker()->State(op, Guarded([this, number = record->number](Micros t, StateResponse& r) {
-                   Written(t, r, number);
-                 }));
+  outbox()->SendState(op, Guarded([this, number = record->number](Micros t, StateResponse& r) {
+                        Written(t, r, number);
+                      }));
 }
 
 void Rights::Written(Micros now, StateResponse& r, uint64_t number) {
@@ -201,21 +201,21 @@
   writing_ = true;
   StateRequest get;
   get.key = keys::kEscrow;
-  asker()->State(get, Guarded([this, number](Micros t, StateResponse& g) {
-                   writing_ = false;
-                   write_at_ = t + Millis(300);
-                   if (!g.ok() || g.entries.empty()) return;  // the same once more
-                   const Entry& e = g.entries[0];
-                   const auto* record = std::get_if<limits::EscrowRecord>(&e.value);
-                   if (record && record->number == number) {
-                     stamp_ = e.version;
-                     escrow_->Written(number);
-                     Apply();
-                     speak_at_ = t;
-                   } else if (e.version != stamp_) {
-                     election()->StepDown(t, "the record of limits is another's");
-                   }
-                 }));
+  outbox()->SendState(get, Guarded([this, number](Micros t, StateResponse& g) {
+                        writing_ = false;
+                        write_at_ = t + Millis(300);
+                        if (!g.ok() || g.entries.empty()) return;  // the same once more
+                        const Entry& e = g.entries[0];
+                        const auto* record = std::get_if<limits::EscrowRecord>(&e.value);
+                        if (record && record->number == number) {
+                          stamp_ = e.version;
+                          escrow_->Written(number);
+                          Apply();
+                          speak_at_ = t;
+                        } else if (e.version != stamp_) {
+                          election()->StepDown(t, "the record of limits is another's");
+                        }
+                      }));
 }
 
 std::string Rights::Summary() const {
--- a/src/core/leader/sharing.cpp
+++ b/src/core/leader/sharing.cpp
@@ -220,8 +220,9 @@
     if (!place.victims.empty()) machine_table().HaltNow(now, place.machine);
   }
   if (told > 0) {
-    asker()->Debug("guarantee of " + job->spec.team + ": " + std::to_string(told) +
-                   " tasks of others stopped for " + std::to_string(tasks) + " of " + job->spec.id);
+    outbox()->Debug("guarantee of " + job->spec.team + ": " + std::to_string(told) +
+                    " tasks of others stopped for " + std::to_string(tasks) + " of " +
+                    job->spec.id);
   }
 }
 
--- a/src/core/leader/supervisor.cpp
+++ b/src/core/leader/supervisor.cpp
@@ -82,12 +82,12 @@
     if (job->IsService() && job->placed == job->remaining()) continue;
     if (now - job->progressed_at < Patience(*job) || now < job->stuck_logged_at) continue;
     job->stuck_logged_at = now + Patience(*job);
-    asker()->Info("stuck: " + Explain(now, id));
+    outbox()->Info("stuck: " + Explain(now, id));
     Recount(now, job);
     // One that only gathers is stopped as after the loss of a member: it starts anew when all of it
     // is proved gone. One that runs may just take long.
     if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
-      asker()->Info("stuck: " + id + " is stopped and tried again");
+      outbox()->Info("stuck: " + id + " is stopped and tried again");
       gangs().Halt(now, job, job->spec.checkpoint_duration);
     }
   }
@@ -128,10 +128,10 @@
     }
   }
   if (lost == 0 && placed == job->placed && running == job->running) return;
-  asker()->Log(LogLine::Level::kError,
-               "counts of " + job->spec.id + " were wrong: " + Number(job->placed) +
-                   " tasks on machines for " + Number(placed) + ", " + Number(job->running) +
-                   " running for " + Number(running) + ", " + Number(lost) + " lost");
+  outbox()->Log(LogLine::Level::kError,
+                "counts of " + job->spec.id + " were wrong: " + Number(job->placed) +
+                    " tasks on machines for " + Number(placed) + ", " + Number(job->running) +
+                    " running for " + Number(running) + ", " + Number(lost) + " lost");
   job->placed = placed;
   job->running = running;
   job->zone_count = zones;
--- /dev/null
+++ b/src/core/outbox/outbox.h
@@ -0,0 +1,44 @@
+// Outgoing requests of the core and the callbacks that wait for their responses.
+#pragma once
+
+#include <functional>
+#include <string>
+#include <unordered_map>
+
+#include "core/model/effects.h"
+
+namespace badgershore {
+
+// Collects what the core wants done outside (see Effects) and routes each response to the callback
+// of the request with its id. Callbacks run inside Deliver, on the caller's thread.
+class Outbox {
+ public:
+  using OnState = std::function<void(Micros now, StateResponse&)>;
+  using OnCloud = std::function<void(Micros now, CloudResponse&)>;
+  using OnCommand = std::function<void(Micros now, CommandResponse&)>;
+
+  // Not yet carried out; the owner takes them after each input.
+  Effects effects;
+
+  // Queue a request under a new id; `on_response` is called at most once.
+  void SendState(StateRequest request, OnState on_response);
+  void SendCloud(CloudRequest request, OnCloud on_response);
+  void SendCommand(CommandRequest request, OnCommand on_response);
+
+  // Pass a response to the callback of request `id`. Unknown or repeated ids are ignored.
+  void Deliver(Micros now, RequestId id, StateResponse& response);
+  void Deliver(Micros now, RequestId id, CloudResponse& response);
+  void Deliver(Micros now, RequestId id, CommandResponse& response);
+
+  void Log(LogLine::Level level, std::string text);
+  void Info(std::string text);
+  void Debug(std::string text);
+
+ private:
+  RequestId last_id_ = 0;
+  std::unordered_map<RequestId, OnState> state_callbacks_;
+  std::unordered_map<RequestId, OnCloud> cloud_callbacks_;
+  std::unordered_map<RequestId, OnCommand> command_callbacks_;
+};
+
+}  // namespace badgershore
--- a/src/rehearsal/world.h
+++ b/src/rehearsal/world.h
@@ -5,7 +5,7 @@
 
 #include <memory>
 
-#include "core/frontend/controller.h"
+#include "core/controller/controller.h"
 #include "rehearsal/clock.h"
 #include "rehearsal/cloud.h"
 #include "rehearsal/distortions.h"
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "core/frontend/frontend.h"
+#include "core/api/job_api.h"
 #include "core/model/effects.h"
 
 namespace badgershore::wire {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -1,6 +1,6 @@
 #include <gtest/gtest.h>
 
-#include "core/frontend/admission.h"
+#include "core/api/admission_control.h"
 #include "core/model/jobs.h"
 #include "core/placement/autoscale.h"
 #include "core/placement/guardrails.h"
@@ -130,8 +130,8 @@
 // Guards against: a takeover that forgets what has been arriving, so that the room kept for work
 // which can't wait for a boot is given back just when the leader has changed.
 // Guards against: a guest's thousand single jobs using up the writes that the home team's few need.
-TEST(Admission, TurnsAwayWhoSendsMostWhileTheStateServiceIsAtItsLimit) {
-  Admission a;
+TEST(AdmissionControl, TurnsAwayWhoSendsMostWhileTheStateServiceIsAtItsLimit) {
+  AdmissionControl a;
   Micros now = Seconds(100);
   const auto flood = [&](int jobs) {
     int away = 0;
@@ -148,7 +148,7 @@
   now = now + Seconds(4);
   EXPECT_EQ(flood(1), 0);  // the limit has not been met again
   // A team alone is never turned away here, whatever it sends.
-  Admission alone;
+  AdmissionControl alone;
   alone.Limited(now);
   for (int i = 0; i < 100; ++i) EXPECT_EQ(alone.TurnAway(now, "home"), 0);
 }
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "core/frontend/controller.h"
+#include "core/controller/controller.h"
 
 namespace badgershore {
 namespace {
