--- a/src/adapters/node.cpp
+++ b/src/adapters/node.cpp
@@ -25,15 +25,15 @@
       link_(
           loop, settings,
           [this](const PeerStatus& note) {
-            core_.OnPeer(io::Loop::Now(), note);
+            core_.OnPeerStatus(io::Loop::Now(), note);
             Flush();
           },
           [this](const limits::CellMessage& note) {
-            core_.OnCell(io::Loop::Now(), note);
+            core_.OnCellMessage(io::Loop::Now(), note);
             Flush();
           },
           [this](const membership::Message& message) {
-            core_.OnMember(io::Loop::Now(), message);
+            core_.OnMembershipMessage(io::Loop::Now(), message);
             Flush();
           }),
       server_(
@@ -52,9 +52,9 @@
 // Workers that report here learn of the new leader, and users' open requests are answered.
 io::Task<void> Node::WindDown(std::function<void()> done) {
   const Micros latest = io::Loop::Now() + Seconds(3);
-  core_.Retire(io::Loop::Now());
+  core_.BeginHandover(io::Loop::Now());
   Flush();
-  while (!core_.retired() && io::Loop::Now() < latest) co_await loop_->Sleep(Millis(20));
+  while (!core_.handover_done() && io::Loop::Now() < latest) co_await loop_->Sleep(Millis(20));
   co_await loop_->Sleep(Seconds(1));
   done();
 }
@@ -84,7 +84,7 @@
   // An operation that ends at once feeds the core again; the outermost call goes on with it.
   if (std::exchange(flushing_, true)) return;
   for (;;) {
-    Effects out = core_.Take();
+    Effects out = core_.TakeEffects();
     bool any = false;
     for (LogLine& line : out.log) {
       any = true;
@@ -142,7 +142,7 @@
 io::Task<void> Node::TaskPhase(StateRequest op) {
   const RequestId id = op.id;
   StateResponse reply = co_await state_.Run(std::move(op));
-  core_.OnState(io::Loop::Now(), id, std::move(reply));
+  core_.OnStateResponse(io::Loop::Now(), id, std::move(reply));
   Flush();
 }
 
@@ -150,7 +150,7 @@
   ++metrics_.cloud_calls;
   const RequestId id = op.id;
   CloudResponse reply = co_await cloud_.Run(std::move(op));
-  core_.OnCloud(io::Loop::Now(), id, std::move(reply));
+  core_.OnCloudResponse(io::Loop::Now(), id, std::move(reply));
   Flush();
 }
 
@@ -165,7 +165,7 @@
     reply.status = answer.status;
     reply.heartbeat = wire::ParseReport(answer.body);
   }
-  core_.OnDirect(io::Loop::Now(), id, std::move(reply));
+  core_.OnCommandResponse(io::Loop::Now(), id, std::move(reply));
   Flush();
 }
 
@@ -176,7 +176,7 @@
     co_return co_await HandleCheckin(std::move(request));
   }
   if (path == "/healthz") {
-    if (core_.Healthy(io::Loop::Now())) co_return http::ServerAnswer{200, "{\"ok\":true}", 0};
+    if (core_.IsHealthy(io::Loop::Now())) co_return http::ServerAnswer{200, "{\"ok\":true}", 0};
     co_return Plain(503, "not ready");
   }
   if (path == "/metrics") co_return HandleMetrics();
@@ -210,7 +210,7 @@
   if (id.empty()) {
     core_.OnSubmit(now, token, wire::ParseSubmission(request.body, io::Loop::TimeOfDayMs()));
   } else if (withdraw) {
-    core_.OnWithdraw(now, token, id);
+    core_.OnCancel(now, token, id);
   } else {
     core_.OnQuery(now, token, id);
   }
@@ -232,7 +232,7 @@
   io::Slot<HeartbeatResponse> slot(loop_);
   checkins_[token] = &slot;
   const Micros now = io::Loop::Now();
-  core_.OnCheckin(now, token, *report);
+  core_.OnHeartbeat(now, token, *report);
   Flush();
   std::optional<HeartbeatResponse> answer = co_await slot.Wait(now + Seconds(3));
   checkins_.erase(token);
--- a/src/check/cancel_model.cpp
+++ b/src/check/cancel_model.cpp
@@ -59,9 +59,9 @@
     n.hangs = hangs;
     n.outbox = std::make_unique<Outbox>();
     Election::Callbacks callbacks;
-    callbacks.won = [&n](Micros) { n.won = true; };
-    callbacks.lost = [&n](Micros) { n.lost = true; };
-    callbacks.control = [](Micros, const Entry&) {};
+    callbacks.on_elected = [&n](Micros) { n.won = true; };
+    callbacks.on_lost = [&n](Micros) { n.lost = true; };
+    callbacks.on_control_entry = [](Micros, const Entry&) {};
     n.election =
         std::make_unique<Election>(n.outbox.get(), std::string(1, static_cast<char>('a' + i)),
                                    static_cast<int>(i), kLease, std::move(callbacks));
@@ -219,7 +219,7 @@
     for (const auto& [lease, end] : state.leases) key += std::to_string(lease) + until(end);
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
-      key += '|' + n.election->Show(Clock(i)) + std::to_string(n.refused) +
+      key += '|' + n.election->Fingerprint(Clock(i)) + std::to_string(n.refused) +
              std::to_string(n.hangs) + std::to_string(n.knows);
       if (n.jobs) {
         key += std::to_string(n.jobs->synced()) + until(n.jobs->known_as_of()) + until(n.news_at);
--- a/src/check/cancel_model.h
+++ b/src/check/cancel_model.h
@@ -1,8 +1,7 @@
-// What a cell's controllers let live and start, as it ships (core/election, core/outbox,
-// authority), around one worker with one task of one job, which somebody cancels. The state service
-// refuses one controller, is down for all, or keeps the answers to lists and watches back; the
-// worker goes from one controller to the other; controllers end. Explored: every order of these, a
-// second at a time.
+// What a cell's controllers let live and start, as it ships (core/election, core/outbox), around
+// one worker with one task of one job, which somebody cancels. The state service refuses one
+// controller, is down for all, or keeps the answers to lists and watches back; the worker goes from
+// one controller to the other; controllers end. Explored: every order of these, a second at a time.
 #pragma once
 
 #include <string>
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -44,9 +44,9 @@
     n.retiring = false;
     n.outbox = std::make_unique<Outbox>();
     Election::Callbacks callbacks;
-    callbacks.won = [](Micros) {};
-    callbacks.lost = [](Micros) {};
-    callbacks.control = [](Micros, const Entry&) {};
+    callbacks.on_elected = [](Micros) {};
+    callbacks.on_lost = [](Micros) {};
+    callbacks.on_control_entry = [](Micros, const Entry&) {};
     n.election = std::make_unique<Election>(n.outbox.get(), Name(i), static_cast<int>(i), kLease,
                                             std::move(callbacks));
   }
@@ -171,7 +171,7 @@
     }
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
-      key += '|' + n.election->Show(Clock(i));
+      key += '|' + n.election->Fingerprint(Clock(i));
       for (const StateRequest& op : n.late) {
         key += " late" + std::to_string(static_cast<int>(op.kind)) + std::to_string(op.lease);
       }
--- a/src/core/api/admission_control.cpp
+++ b/src/core/api/admission_control.cpp
@@ -6,37 +6,38 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kWindow = Seconds(10);
-constexpr Micros kCrowded = Seconds(3);  // so long after a refusal the limit is taken to hold
-constexpr double kForgotten = 0.05;      // submissions of late that count for none
-constexpr double kMargin = 1.2;          // of an equal part
-constexpr int kLongest = 10;             // seconds; users give up after a minute
+constexpr Micros kDecayTime = Seconds(10);
+constexpr Micros kLimitAssumedFor = Seconds(3);  // after a refusal
+constexpr double kNegligibleAttempts = 0.05;
+constexpr double kMargin = 1.2;            // of the teams' mean
+constexpr int kMaxRetryAfterSeconds = 10;  // users give up after a minute
 
 }  // namespace
 
-void AdmissionControl::Fade(Micros now) {
-  const double share = std::exp(-(now - faded_at_).ToSeconds() / kWindow.ToSeconds());
-  faded_at_ = now;
-  for (auto it = tried_.begin(); it != tried_.end();) {
-    it->second *= share;
-    it = it->second < kForgotten ? tried_.erase(it) : std::next(it);
+void AdmissionControl::Decay(Micros now) {
+  const double factor = std::exp(-(now - decayed_at_).ToSeconds() / kDecayTime.ToSeconds());
+  decayed_at_ = now;
+  for (auto it = attempts_.begin(); it != attempts_.end();) {
+    it->second *= factor;
+    it = it->second < kNegligibleAttempts ? attempts_.erase(it) : std::next(it);
   }
 }
 
-int AdmissionControl::TurnAway(Micros now, const std::string& team) {
-  Fade(now);
-  if (now - limited_at_ < kCrowded) {
+int AdmissionControl::RetryAfterSeconds(Micros now, const std::string& team) {
+  Decay(now);
+  if (now - rate_limited_at_ < kLimitAssumedFor) {
     double sum = 0;
-    for (const auto& [name, tried] : tried_) sum += tried;
-    const size_t teams = tried_.size() + (tried_.contains(team) ? 0 : 1);
-    const double part = sum / static_cast<double>(teams);
-    const double own = tried_.contains(team) ? tried_[team] : 0;
-    // Alone a team is held to the state service's limit only.
-    if (teams > 1 && own > kMargin * part) {
-      return std::clamp(static_cast<int>(std::ceil(own / std::max(part, 1.0))), 1, kLongest);
+    for (const auto& [name, attempts] : attempts_) sum += attempts;
+    const size_t teams = attempts_.size() + (attempts_.contains(team) ? 0 : 1);
+    const double mean = sum / static_cast<double>(teams);
+    const double own = attempts_.contains(team) ? attempts_[team] : 0;
+    // A team alone is held to the state service's limit only.
+    if (teams > 1 && own > kMargin * mean) {
+      const double excess = own / std::max(mean, 1.0);
+      return std::clamp(static_cast<int>(std::ceil(excess)), 1, kMaxRetryAfterSeconds);
     }
   }
-  tried_[team] += 1;
+  attempts_[team] += 1;
   return 0;
 }
 
--- a/src/core/api/admission_control.h
+++ b/src/core/api/admission_control.h
@@ -1,6 +1,4 @@
-// Who is turned away while more submissions come than the state service takes: by team, so that one
-// that sends thousands of jobs does not use up the writes of those that send a few. It speaks only
-// after the state service has said that its limit is reached (429); an outage is another matter.
+// Admission control for submissions while the state service's write limit is reached.
 #pragma once
 
 #include <map>
@@ -10,20 +8,22 @@
 
 namespace badgershore {
 
+// Shares the limited writes among teams, so that one that submits thousands of jobs does not use up
+// the writes of the others. Acts only after a 429 of the state service, not in an outage.
 class AdmissionControl {
  public:
-  // A submission of the team that would need a write. 0: it may be tried; else the seconds after
-  // which its user is to come back.
-  int TurnAway(Micros now, const std::string& team);
+  // For a submission that would need a write. 0: try it; else the seconds after which the user is
+  // to retry.
+  int RetryAfterSeconds(Micros now, const std::string& team);
   // The state service refused a submission's write for its limit.
-  void Limited(Micros now) { limited_at_ = now; }
+  void OnRateLimited(Micros now) { rate_limited_at_ = now; }
 
  private:
-  void Fade(Micros now);
+  void Decay(Micros now);
 
-  std::map<std::string, double> tried_;  // submissions of late, by team; fades
-  Micros faded_at_;
-  Micros limited_at_{-1000000000};
+  std::map<std::string, double> attempts_;  // by team; decay exponentially
+  Micros decayed_at_;
+  Micros rate_limited_at_{-1000000000};
 };
 
 }  // namespace badgershore
--- a/src/core/api/job_api.cpp
+++ b/src/core/api/job_api.cpp
@@ -1,135 +1,158 @@
 #include "core/api/job_api.h"
 
+#include <utility>
+
 namespace badgershore {
 namespace {
 
-StateRequest GetOp(std::string key) {
-  StateRequest op;
-  op.kind = StateRequest::Kind::kGet;
-  op.key = std::move(key);
-  return op;
+StateRequest GetRequest(std::string key) {
+  StateRequest request;
+  request.kind = StateRequest::Kind::kGet;
+  request.key = std::move(key);
+  return request;
+}
+
+const JobEndRecord* FindEnd(const StateResponse& response) {
+  if (!response.ok() || response.entries.empty()) return nullptr;
+  return std::get_if<JobEndRecord>(&response.entries[0].value);
 }
 
 }  // namespace
 
-void JobApi::Answer(RequestId token, int status, const std::string& id, JobPhase phase, int done,
-                    int running) {
-  outbox_->effects.api_responses.push_back({token, status, id, phase, done, running, "", 0});
+void JobApi::Answer(RequestId request_id, int status, const std::string& id, JobPhase phase,
+                    int done, int running) {
+  outbox_->effects.api_responses.push_back({request_id, status, id, phase, done, running, "", 0});
 }
 
-void JobApi::Refuse(RequestId token, int status, const std::string& id, std::string reason,
+void JobApi::Refuse(RequestId request_id, int status, const std::string& id, std::string reason,
                     int retry_after_s) {
-  ApiResponse a;
-  a.request_id = token;
-  a.status = status;
-  a.job = id;
-  a.reason = std::move(reason);
-  if (status == 503 || status == 429) a.retry_after_s = retry_after_s;
-  outbox_->effects.api_responses.push_back(std::move(a));
+  ApiResponse response;
+  response.request_id = request_id;
+  response.status = status;
+  response.job = id;
+  response.reason = std::move(reason);
+  if (status == 503 || status == 429) response.retry_after_s = retry_after_s;
+  outbox_->effects.api_responses.push_back(std::move(response));
 }
 
-void JobApi::Remember(const std::string& id, const JobEndRecord& end) {
-  if (!finals_.emplace(id, end).second) return;
-  finals_order_.push_back(id);
-  if (finals_order_.size() > kFinals) {
-    finals_.erase(finals_order_.front());
-    finals_order_.pop_front();
+void JobApi::CacheEnd(const std::string& id, const JobEndRecord& end) {
+  if (!ends_.emplace(id, end).second) return;
+  ends_order_.push_back(id);
+  if (ends_order_.size() > kMaxCachedEnds) {
+    ends_.erase(ends_order_.front());
+    ends_order_.pop_front();
   }
 }
 
-bool JobApi::AnswerFinal(RequestId token, const std::string& id) {
-  auto it = finals_.find(id);
-  if (it == finals_.end()) return false;
+bool JobApi::AnswerEnded(RequestId request_id, const std::string& id) {
+  auto it = ends_.find(id);
+  if (it == ends_.end()) return false;
   const JobEndRecord& end = it->second;
-  Answer(token, 200, id, end.cancelled ? JobPhase::kCancelled : JobPhase::kDone,
+  Answer(request_id, 200, id, end.cancelled ? JobPhase::kCancelled : JobPhase::kDone,
          end.cancelled ? 0 : end.tasks);
   return true;
 }
 
-void JobApi::AnswerLive(RequestId token, const std::string& id) {
-  const JobStatus d = facts_.digest(id);
-  Answer(token, 200, id, d.running > 0 ? JobPhase::kRunning : JobPhase::kPending, d.done,
-         d.running);
+void JobApi::AnswerLive(RequestId request_id, const std::string& id) {
+  const JobStatus status = callbacks_.live_status(id);
+  Answer(request_id, 200, id, status.running > 0 ? JobPhase::kRunning : JobPhase::kPending,
+         status.done, status.running);
+}
+
+void JobApi::ReadJob(RequestId request_id, const std::string& id, int missing_status,
+                     const std::string& reason, const OnLiveJob& on_live) {
+  if (AnswerEnded(request_id, id)) return;
+  outbox_->SendState(GetRequest(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
+    if (job.ok()) return on_live(now, job);
+    if (job.outcome != StateResponse::Outcome::kNotFound) {
+      return Refuse(request_id, 503, id, "the state service can't be read");
+    }
+    // The end is read second: a job's record is deleted in the transaction that writes its end.
+    ReadEnd(request_id, id, missing_status, reason);
+  });
 }
 
-void JobApi::Read(RequestId token, const std::string& id, int missing_status,
-                  const std::string& reason, const OnRead& live) {
-  if (AnswerFinal(token, id)) return;
-  const auto unread = [=, this] { Refuse(token, 503, id, "the state service can't be read"); };
-  outbox_->SendState(GetOp(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
-    if (job.ok()) return live(now, job);
-    if (job.outcome != StateResponse::Outcome::kNotFound) return unread();
-    // In this order: a job's record goes in the same change that writes its end.
-    outbox_->SendState(GetOp(keys::kJobEnd + id), [=, this](Micros, StateResponse& end) {
-      if (end.outcome == StateResponse::Outcome::kNotFound) {
-        return Refuse(token, missing_status, id, reason);
-      }
-      const JobEndRecord* record = end.ok() && !end.entries.empty()
-                                       ? std::get_if<JobEndRecord>(&end.entries[0].value)
-                                       : nullptr;
-      if (!record) return unread();
-      Remember(id, *record);
-      AnswerFinal(token, id);
-    });
+void JobApi::ReadEnd(RequestId request_id, const std::string& id, int missing_status,
+                     const std::string& reason) {
+  outbox_->SendState(GetRequest(keys::kJobEnd + id), [=, this](Micros, StateResponse& response) {
+    if (response.outcome == StateResponse::Outcome::kNotFound) {
+      return Refuse(request_id, missing_status, id, reason);
+    }
+    const JobEndRecord* end = FindEnd(response);
+    if (!end) return Refuse(request_id, 503, id, "the state service can't be read");
+    CacheEnd(id, *end);
+    AnswerEnded(request_id, id);
   });
 }
 
-void JobApi::Submit(Micros now, RequestId token, Submission submission) {
+void JobApi::Submit(Micros now, RequestId request_id, Submission submission) {
   const std::string id = submission.id;
-  if (id.empty()) return Refuse(token, 400, id, submission.reason);
-  const auto live = [=, this](Micros, const StateResponse&) { AnswerLive(token, id); };
-  // A known id is known whatever its description would be answered today: a job that was accepted
-  // may not be told 400 (`forgotten`), so where its record can't be read its user comes again.
-  if (!submission.spec) return Read(token, id, 400, submission.reason, live);
-  if (!facts_.knows_types()) {
-    return Read(token, id, 503, "the machine types are not known yet", live);
+  if (id.empty()) return Refuse(request_id, 400, id, submission.reason);
+  const auto on_live = [=, this](Micros, const StateResponse&) { AnswerLive(request_id, id); };
+  // An accepted id is reported by its record whatever its description would be answered today:
+  // answering 400 would deny an accepted job. Where the record can't be read the user retries.
+  if (!submission.spec) return ReadJob(request_id, id, 400, submission.reason, on_live);
+  if (!callbacks_.types_known()) {
+    return ReadJob(request_id, id, 503, "the machine types are not known yet", on_live);
   }
-  const std::string never = facts_.never_runs(*submission.spec);
-  if (!never.empty()) return Read(token, id, 422, never, live);
-  if (AnswerFinal(token, id)) return;
-  if (const int wait = admission_.TurnAway(now, submission.spec->team); wait > 0) {
-    return Refuse(token, 429, id, "more jobs come than can be recorded", wait);
+  const std::string infeasible = callbacks_.infeasible_reason(*submission.spec);
+  if (!infeasible.empty()) return ReadJob(request_id, id, 422, infeasible, on_live);
+  if (AnswerEnded(request_id, id)) return;
+  const int retry_after_s = admission_control_.RetryAfterSeconds(now, submission.spec->team);
+  if (retry_after_s > 0) {
+    return Refuse(request_id, 429, id, "more jobs come than can be recorded", retry_after_s);
   }
-  StateRequest op;
-  op.kind = StateRequest::Kind::kCompareAndSwap;
-  op.preconditions = {{keys::kJob + id, 0}, {keys::kJobEnd + id, 0}};
-  op.mutations = {{keys::kJob + id, false, *submission.spec, 0}};
-  outbox_->SendState(op, [=, this](Micros t, StateResponse& r) {
-    if (r.ok()) return Answer(token, 201, id, JobPhase::kPending);
-    if (r.rate_limited) admission_.Limited(t);
-    if (r.outcome == StateResponse::Outcome::kConflict) {
-      return Read(token, id, 503, "the job's record is changing", live);
+  RecordSubmission(request_id, id, *submission.spec, on_live);
+}
+
+void JobApi::RecordSubmission(RequestId request_id, const std::string& id, const JobSpec& spec,
+                              const OnLiveJob& on_live) {
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kJob + id, 0}, {keys::kJobEnd + id, 0}};
+  commit.mutations = {{keys::kJob + id, false, spec, 0}};
+  outbox_->SendState(commit, [=, this](Micros now, StateResponse& response) {
+    if (response.ok()) return Answer(request_id, 201, id, JobPhase::kPending);
+    if (response.rate_limited) admission_control_.OnRateLimited(now);
+    if (response.outcome == StateResponse::Outcome::kConflict) {
+      return ReadJob(request_id, id, 503, "the job's record is changing", on_live);
     }
-    // Not recorded, or perhaps recorded: the user asks again and learns which.
-    Refuse(token, 503, id, "the job can't be recorded now");
+    // Not recorded, or perhaps recorded: the user retries and learns which.
+    Refuse(request_id, 503, id, "the job can't be recorded now");
   });
 }
 
-void JobApi::Query(RequestId token, const std::string& id) {
-  Read(token, id, 404, "no such job",
-       [=, this](Micros, const StateResponse&) { AnswerLive(token, id); });
+void JobApi::Query(RequestId request_id, const std::string& id) {
+  ReadJob(request_id, id, 404, "no such job",
+          [=, this](Micros, const StateResponse&) { AnswerLive(request_id, id); });
 }
 
-void JobApi::Withdraw(RequestId token, const std::string& id, int rounds) {
-  Read(token, id, 404, "no such job", [=, this](Micros now, const StateResponse& job) {
-    // Told before it is recorded, the leader starts nothing of it once its user has been answered.
-    facts_.calls_off(now, id);
-    StateRequest op;
-    op.kind = StateRequest::Kind::kCompareAndSwap;
-    op.preconditions = {{keys::kJob + id, job.entries[0].version}, {keys::kJobEnd + id, 0}};
-    const JobEndRecord end{true, 0};
-    op.mutations = {{keys::kJobEnd + id, false, end, 0}, {keys::kJob + id, true, {}, 0}};
-    outbox_->SendState(op, [=, this](Micros t, StateResponse& r) {
-      if (r.ok()) {
-        Remember(id, end);
-        AnswerFinal(token, id);
-        facts_.called_off(t, id);
-      } else if (r.outcome == StateResponse::Outcome::kConflict && rounds > 1) {
-        Withdraw(token, id, rounds - 1);  // it ended at the same moment: read which way
-      } else {
-        Refuse(token, 503, id, "the cancellation can't be recorded now");
-      }
-    });
+void JobApi::Cancel(RequestId request_id, const std::string& id, int attempts) {
+  ReadJob(request_id, id, 404, "no such job", [=, this](Micros now, const StateResponse& job) {
+    // Announced before it is recorded, so that the leader starts none of its tasks once the user
+    // has been answered.
+    callbacks_.on_cancellation_pending(now, id);
+    RecordCancellation(request_id, id, job.entries[0].version, attempts);
+  });
+}
+
+void JobApi::RecordCancellation(RequestId request_id, const std::string& id, uint64_t job_version,
+                                int attempts) {
+  const JobEndRecord end{true, 0};
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kJob + id, job_version}, {keys::kJobEnd + id, 0}};
+  commit.mutations = {{keys::kJobEnd + id, false, end, 0}, {keys::kJob + id, true, {}, 0}};
+  outbox_->SendState(commit, [=, this](Micros now, StateResponse& response) {
+    if (response.ok()) {
+      CacheEnd(id, end);
+      AnswerEnded(request_id, id);
+      callbacks_.on_cancellation_recorded(now, id);
+    } else if (response.outcome == StateResponse::Outcome::kConflict && attempts > 1) {
+      Cancel(request_id, id, attempts - 1);  // the job ended meanwhile, or its record changed
+    } else {
+      Refuse(request_id, 503, id, "the cancellation can't be recorded now");
+    }
   });
 }
 
--- a/src/core/api/job_api.h
+++ b/src/core/api/job_api.h
@@ -1,8 +1,10 @@
-// The users' requests, on any node: every answer rests on a durable record or a fresh read.
+// The users' job requests: submit, query, cancel.
 #pragma once
 
+#include <cstddef>
 #include <functional>
 #include <list>
+#include <optional>
 #include <string>
 #include <unordered_map>
 
@@ -14,47 +16,60 @@
 struct Submission {
   std::string id;               // empty: not even an id could be read
   std::optional<JobSpec> spec;  // absent: malformed
-  std::string reason;
+  std::string reason;           // why it is malformed
 };
 
+// Serves users on any controller, leading or not: each answer rests on a durable record or a fresh
+// read. Answers go to the outbox as ApiResponses with HTTP statuses.
 class JobApi {
  public:
-  struct Facts {
-    // Empty: can run. Otherwise why it never can.
-    std::function<std::string(const JobSpec&)> never_runs;
-    std::function<bool()> knows_types;
+  struct Callbacks {
+    // Why the job can never run; empty when it can.
+    std::function<std::string(const JobSpec&)> infeasible_reason;
+    std::function<bool()> types_known;
     // The job's cancellation is about to be recorded.
-    std::function<void(Micros, const std::string&)> calls_off;
-    std::function<void(Micros, const std::string&)> called_off;  // and is recorded
-    // Display counts of a live job.
-    std::function<JobStatus(const std::string&)> digest;
+    std::function<void(Micros, const std::string& job)> on_cancellation_pending;
+    std::function<void(Micros, const std::string& job)> on_cancellation_recorded;
+    // Task counts of a live job, for display.
+    std::function<JobStatus(const std::string& job)> live_status;
   };
-  JobApi(Outbox* outbox, Facts facts) : outbox_(outbox), facts_(std::move(facts)) {}
+  JobApi(Outbox* outbox, Callbacks callbacks) : outbox_(outbox), callbacks_(std::move(callbacks)) {}
 
-  void Submit(Micros now, RequestId token, Submission submission);
-  void Query(RequestId token, const std::string& id);
-  void Withdraw(RequestId token, const std::string& id, int rounds = 4);
+  void Submit(Micros now, RequestId request_id, Submission submission);
+  void Query(RequestId request_id, const std::string& id);
+  // `attempts`: how often a write that conflicts is tried.
+  void Cancel(RequestId request_id, const std::string& id, int attempts = 4);
 
  private:
-  using OnRead = std::function<void(Micros, const StateResponse& job)>;
-  // Reads the job; answers by itself when it is over, unknown (`missing_status`) or can't be read.
-  void Read(RequestId token, const std::string& id, int missing_status, const std::string& reason,
-            const OnRead& live);
-  void Answer(RequestId token, int status, const std::string& id, JobPhase phase, int done = 0,
+  using OnLiveJob = std::function<void(Micros, const StateResponse& job)>;
+
+  // Reads the job and calls `on_live` when it has not ended. Otherwise answers: with the end, with
+  // `missing_status` and `reason` for an unknown job, or with 503 when the read fails.
+  void ReadJob(RequestId request_id, const std::string& id, int missing_status,
+               const std::string& reason, const OnLiveJob& on_live);
+  void ReadEnd(RequestId request_id, const std::string& id, int missing_status,
+               const std::string& reason);
+  void RecordSubmission(RequestId request_id, const std::string& id, const JobSpec& spec,
+                        const OnLiveJob& on_live);
+  void RecordCancellation(RequestId request_id, const std::string& id, uint64_t job_version,
+                          int attempts);
+  void Answer(RequestId request_id, int status, const std::string& id, JobPhase phase, int done = 0,
               int running = 0);
-  void Refuse(RequestId token, int status, const std::string& id, std::string reason,
+  void Refuse(RequestId request_id, int status, const std::string& id, std::string reason,
               int retry_after_s = 1);
-  bool AnswerFinal(RequestId token, const std::string& id);
-  void Remember(const std::string& id, const JobEndRecord& end);
-  void AnswerLive(RequestId token, const std::string& id);
+  // Answers from the cached ends; false when the job's end is not among them.
+  bool AnswerEnded(RequestId request_id, const std::string& id);
+  void AnswerLive(RequestId request_id, const std::string& id);
+  void CacheEnd(const std::string& id, const JobEndRecord& end);
+
+  static constexpr size_t kMaxCachedEnds = 4096;
 
   Outbox* outbox_;
-  Facts facts_;
-  AdmissionControl admission_;
-  // Ends never change, so they may be kept; the oldest fall out.
-  static constexpr size_t kFinals = 4096;
-  std::unordered_map<std::string, JobEndRecord> finals_;
-  std::list<std::string> finals_order_;
+  Callbacks callbacks_;
+  AdmissionControl admission_control_;
+  // An end never changes, so it may be cached; the oldest are evicted.
+  std::unordered_map<std::string, JobEndRecord> ends_;
+  std::list<std::string> ends_order_;
 };
 
 }  // namespace badgershore
--- /dev/null
+++ b/src/core/controller/connectivity.cpp
@@ -0,0 +1,35 @@
+#include "core/controller/connectivity.h"
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kReachableFor = Seconds(2);  // after the last answer or heartbeat
+constexpr Micros kProbeInterval = Millis(900);
+
+}  // namespace
+
+void Connectivity::Tick(Micros now) {
+  if (probing_ || now < probe_at_ || now - state_answer_at_ <= kProbeInterval) return;
+  probing_ = true;
+  probe_at_ = now + kProbeInterval;
+  StateRequest request;
+  request.key = keys::kLeader;
+  outbox_->SendState(request, [this](Micros, StateResponse&) { probing_ = false; });
+}
+
+void Connectivity::OnStateResponse(Micros now, const StateResponse& response) {
+  if (response.outcome != StateResponse::Outcome::kRefused &&
+      response.outcome != StateResponse::Outcome::kUnknown) {
+    state_answer_at_ = now;
+  }
+}
+
+bool Connectivity::StateServiceReachable(Micros now) const {
+  return StateServiceAnsweredWithin(now, kReachableFor);
+}
+
+bool Connectivity::ReceivesHeartbeats(Micros now) const {
+  return now - heartbeat_at_ < kReachableFor;
+}
+
+}  // namespace badgershore
--- a/src/core/election/election.cpp
+++ b/src/core/election/election.cpp
@@ -1,9 +1,16 @@
 #include "core/election/election.h"
 
 namespace badgershore {
-
 namespace {
-constexpr Micros kNamedFirst = Millis(600);  // others wait so long for who was named
+
+constexpr Micros kPositionDelay = Millis(120);   // between the candidates' first attempts
+constexpr Micros kSuccessorDelay = Millis(600);  // others wait so long for a named successor
+constexpr Micros kRetryDelay = Millis(400);      // after an attempt, and by position:
+constexpr Micros kRetryPositionDelay = Millis(150);
+constexpr Micros kRenewRetryDelay = Millis(150);
+constexpr double kRenewAfter = 0.2;          // of the lease
+constexpr Micros kLeaseMargin = Millis(50);  // for what is under way when the lease expires
+
 }  // namespace
 
 Election::Election(Outbox* outbox, std::string member, int position, Micros lease,
@@ -14,175 +21,199 @@
       lease_(lease),
       callbacks_(std::move(callbacks)),
       control_cache_(
-          outbox, keys::kControl, [this](Micros now, const Entry& e) { OnControl(now, e); },
-          [](Micros) {}) {}
-
-void Election::OnControl(Micros now, const Entry& e) {
-  if (e.key == keys::kLeader) {
-    // The watch may still deliver what came before our own win.
-    if (e.version < lead_revision_) return;
-    lead_revision_ = e.version;
-    // Gone, or somebody else's: our lease is over, whatever our clock says.
-    if (leads() && e.version > term_stamp_) StepDown(now, "the lead key has changed");
-    lead_stamp_ = e.deleted ? 0 : e.version;
-    leader_.clear();
-    const auto* lead = std::get_if<LeaderRecord>(&e.value);
-    if (lead && !e.deleted) leader_ = lead->leader;
-    // Only what was there before the first look can be a last life's. It is over: this process has
-    // its address. Its lease need not be waited out, and its word counts for nothing.
-    if (!control_cache_.synced() && !leads() && leader_ == member_) {
-      last_life_ = e.version;
-      leader_.clear();
-    }
-    if (e.deleted) {
-      free_stamp_ = e.version;
-      WaitForTurn(now);
-    }
-  } else if (e.key == keys::kSuccessor) {
-    const auto* named = std::get_if<LeaderRecord>(&e.value);
-    next_ = named && !e.deleted ? named->leader : "";
-    next_stamp_ = e.version;
-    if (lead_stamp_ == 0) WaitForTurn(now);
-  } else if (e.key == keys::kTerm) {
-    if (const auto* term = std::get_if<TermRecord>(&e.value); term && !e.deleted) {
-      seen_term_ = term->term;
-      seen_term_stamp_ = e.version;
-    }
+          outbox, keys::kControl,
+          [this](Micros now, const Entry& entry) { OnControlEntry(now, entry); }, [](Micros) {}) {}
+
+Micros Election::UsableLease(Micros sent) const {
+  return sent + lease_.Scaled(1 - kClockDrift) - kLeaseMargin;
+}
+
+void Election::OnControlEntry(Micros now, const Entry& entry) {
+  if (entry.key == keys::kLeader) {
+    OnLeaderEntry(now, entry);
+  } else if (entry.key == keys::kSuccessor) {
+    OnSuccessorEntry(now, entry);
+  } else if (entry.key == keys::kTerm) {
+    OnTermEntry(entry);
   } else {
-    callbacks_.control(now, e);
+    callbacks_.on_control_entry(now, entry);
+  }
+}
+
+void Election::OnLeaderEntry(Micros now, const Entry& entry) {
+  // The watch may still deliver versions from before our own election.
+  if (entry.version < last_leader_version_) return;
+  last_leader_version_ = entry.version;
+  // Deleted, or another's: our term is over, whatever our clock says.
+  if (leads() && entry.version > term_version_) StepDown(now, "the leader key has changed");
+  leader_version_ = entry.deleted ? 0 : entry.version;
+  leader_.clear();
+  const auto* record = std::get_if<LeaderRecord>(&entry.value);
+  if (record && !entry.deleted) leader_ = record->leader;
+  // In the first list, our own name is our previous run's. That run is over, since this process has
+  // its address: its lease need not be waited out.
+  if (!control_cache_.synced() && !leads() && leader_ == member_) {
+    previous_run_version_ = entry.version;
+    leader_.clear();
   }
+  if (entry.deleted) {
+    vacated_version_ = entry.version;
+    ScheduleCandidacy(now);
+  }
+}
+
+void Election::OnSuccessorEntry(Micros now, const Entry& entry) {
+  const auto* record = std::get_if<LeaderRecord>(&entry.value);
+  successor_ = record && !entry.deleted ? record->leader : "";
+  successor_version_ = entry.version;
+  if (leader_version_ == 0) ScheduleCandidacy(now);
+}
+
+void Election::OnTermEntry(const Entry& entry) {
+  const auto* record = std::get_if<TermRecord>(&entry.value);
+  if (!record || entry.deleted) return;
+  seen_term_ = record->term;
+  seen_term_version_ = entry.version;
 }
 
-// Who was named goes at once and the others wait for it; else one after the other.
-void Election::WaitForTurn(Micros now) {
-  if (next_stamp_ == 0 || next_stamp_ != free_stamp_) {
-    stand_at_ = std::max(stand_at_, now + Millis(120).Scaled(position_));
-  } else if (next_ == member_) {
-    stand_at_ = now;
+// A successor named in the transaction that vacated the key stands at once and the others wait for
+// it; without one they stand by position.
+void Election::ScheduleCandidacy(Micros now) {
+  const Micros by_position = now + kPositionDelay.Scaled(position_);
+  if (successor_version_ == 0 || successor_version_ != vacated_version_) {
+    candidacy_at_ = std::max(candidacy_at_, by_position);
+  } else if (successor_ == member_) {
+    candidacy_at_ = now;
   } else {
-    stand_at_ = std::max(stand_at_, now + kNamedFirst + Millis(120).Scaled(position_));
+    candidacy_at_ = std::max(candidacy_at_, by_position + kSuccessorDelay);
   }
 }
 
-void Election::HandOver(Micros now, const std::string& successor) {
-  retiring_ = true;
-  if (!leads() || handing_over_) return;
-  handing_over_ = true;
+void Election::HandOver(Micros, const std::string& successor) {
+  handover_requested_ = true;
+  if (!leads() || handover_in_flight_) return;
+  handover_in_flight_ = true;
   StateRequest commit;
   commit.kind = StateRequest::Kind::kCompareAndSwap;
-  commit.preconditions = {{keys::kTerm, term_stamp_}, {keys::kLeader, lead_stamp_}};
+  commit.preconditions = {{keys::kTerm, term_version_}, {keys::kLeader, leader_version_}};
   commit.mutations = {{keys::kLeader, true, {}, 0},
                       {keys::kSuccessor, false, LeaderRecord{successor, term_}, 0}};
-  (void)now;
-  outbox_->SendState(commit, [this, successor](Micros t, StateResponse& r) {
-    handing_over_ = false;
-    // Done, or told so by the watch meanwhile; without an answer the lease is ended, which is the
-    // same but for the name.
-    if (!leads() || r.outcome == StateResponse::Outcome::kRefused) return;
-    StepDown(t, "handing over to " + (successor.empty() ? "whoever stands first" : successor));
+  outbox_->SendState(commit, [this, successor](Micros now, StateResponse& response) {
+    handover_in_flight_ = false;
+    if (!leads() || response.outcome == StateResponse::Outcome::kRefused) return;
+    // Without an answer the lease is revoked, which vacates the key but may name nobody.
+    StepDown(now, "handing over to " + (successor.empty() ? "whoever stands first" : successor));
   });
 }
 
 void Election::Tick(Micros now) {
   control_cache_.Tick(now);
-  if (role_ == Role::kFollower && !retiring_ && control_cache_.synced() && Vacant() &&
-      now >= stand_at_) {
-    Stand(now);
+  if (role_ == Role::kFollower && !handover_requested_ && control_cache_.synced() && Vacant() &&
+      now >= candidacy_at_) {
+    StartCandidacy(now);
   }
   if (leads() && !renewing_ && now >= renew_at_) Renew(now);
 }
 
-void Election::Stand(Micros now) {
+void Election::StartCandidacy(Micros now) {
   role_ = Role::kCandidate;
-  stand_at_ = now + Millis(400) + Millis(150).Scaled(position_);
+  candidacy_at_ = now + kRetryDelay + kRetryPositionDelay.Scaled(position_);
   StateRequest grant;
   grant.kind = StateRequest::Kind::kGrantLease;
   grant.duration = lease_;
-  outbox_->SendState(grant, [this, sent = now](Micros, StateResponse& r) {
-    if (!r.ok()) {
+  outbox_->SendState(grant, [this, sent = now](Micros, StateResponse& response) {
+    if (!response.ok()) {
       role_ = Role::kFollower;
       return;
     }
-    const uint64_t lease = r.lease;
-    const uint64_t term = std::max(seen_term_, seen_fencing_token_) + 1;
-    StateRequest commit;
-    commit.kind = StateRequest::Kind::kCompareAndSwap;
-    commit.preconditions = {{keys::kLeader, Vacant() ? lead_stamp_ : 0},
-                            {keys::kTerm, seen_term_stamp_}};
-    commit.mutations = {{keys::kLeader, false, LeaderRecord{member_, term}, lease},
-                        {keys::kTerm, false, TermRecord{term, member_}, 0}};
-    outbox_->SendState(commit, [this, sent, lease, term](Micros now, StateResponse& r) {
-      if (!r.ok()) {
-        // With no answer the key may be ours or yet become ours: end the lease, so that a late
-        // commit can't hold the place for nobody.
-        role_ = Role::kFollower;
-        StateRequest drop;
-        drop.kind = StateRequest::Kind::kRevokeLease;
-        drop.lease = lease;
-        outbox_->SendState(drop, [](Micros, StateResponse&) {});
-        return;
-      }
-      role_ = Role::kLeader;
-      term_ = seen_term_ = term;
-      term_stamp_ = seen_term_stamp_ = r.revision;
-      leader_ = member_;
-      lead_stamp_ = lead_revision_ = r.revision;
-      lease_id_ = lease;
-      lease_until_ = UsableLease(sent);
-      confirmed_at_ = sent;
-      renew_at_ = now;
-      renewing_ = false;
-      callbacks_.won(now);
-    });
+    WriteTerm(sent, response.lease);
+  });
+}
+
+void Election::WriteTerm(Micros sent, uint64_t lease) {
+  const uint64_t term = std::max(seen_term_, seen_fencing_token_) + 1;
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kLeader, Vacant() ? leader_version_ : 0},
+                          {keys::kTerm, seen_term_version_}};
+  commit.mutations = {{keys::kLeader, false, LeaderRecord{member_, term}, lease},
+                      {keys::kTerm, false, TermRecord{term, member_}, 0}};
+  outbox_->SendState(commit, [this, sent, lease, term](Micros now, StateResponse& response) {
+    if (!response.ok()) {
+      // Without an answer the key may be ours or yet become ours: revoke the lease, so that a late
+      // commit can't hold the key for nobody.
+      role_ = Role::kFollower;
+      return RevokeLease(lease);
+    }
+    OnElected(now, sent, lease, term, response.revision);
   });
 }
 
+void Election::OnElected(Micros now, Micros sent, uint64_t lease, uint64_t term,
+                         uint64_t revision) {
+  role_ = Role::kLeader;
+  term_ = seen_term_ = term;
+  term_version_ = seen_term_version_ = revision;
+  leader_ = member_;
+  leader_version_ = last_leader_version_ = revision;
+  lease_id_ = lease;
+  lease_until_ = UsableLease(sent);
+  confirmed_at_ = sent;
+  renew_at_ = now;
+  renewing_ = false;
+  callbacks_.on_elected(now);
+}
+
+void Election::RevokeLease(uint64_t lease) {
+  StateRequest revoke;
+  revoke.kind = StateRequest::Kind::kRevokeLease;
+  revoke.lease = lease;
+  outbox_->SendState(revoke, [](Micros, StateResponse&) {});
+}
+
 void Election::Renew(Micros now) {
   renewing_ = true;
-  StateRequest touch;
-  touch.kind = StateRequest::Kind::kRenewLease;
-  touch.lease = lease_id_;
-  outbox_->SendState(touch, [this, sent = now, term = term_](Micros now, StateResponse& r) {
+  StateRequest renew;
+  renew.kind = StateRequest::Kind::kRenewLease;
+  renew.lease = lease_id_;
+  outbox_->SendState(renew, [this, sent = now, term = term_](Micros now, StateResponse& response) {
     if (!leads() || term != term_) return;
     renewing_ = false;
-    if (r.ok()) {
+    if (response.ok()) {
       lease_until_ = UsableLease(sent);
       confirmed_at_ = sent;
-      renew_at_ = sent + lease_.Scaled(0.2);
-    } else if (r.outcome == StateResponse::Outcome::kNotFound) {
-      StepDown(now, "the lease has ended");
+      renew_at_ = sent + lease_.Scaled(kRenewAfter);
+    } else if (response.outcome == StateResponse::Outcome::kNotFound) {
+      StepDown(now, "lease expired");
     } else {
-      renew_at_ = now + Millis(150);
+      renew_at_ = now + kRenewRetryDelay;
     }
   });
 }
 
-std::string Election::Show(Micros now) const {
+std::string Election::Fingerprint(Micros now) const {
   const auto in = [now](Micros at) {
     return std::to_string(std::max(Micros{-1}, at - now).count) + ' ';
   };
   std::string out = std::to_string(static_cast<int>(role_)) + ' ' + std::to_string(term_) + ' ' +
-                    std::to_string(term_stamp_) + ' ' + std::to_string(lease_id_) + ' ';
-  out += in(lease_until_) + in(renew_at_) + in(stand_at_) + leader_ + ' ' + next_ + ' ';
-  for (const uint64_t n : {lead_stamp_, lead_revision_, seen_term_, seen_term_stamp_,
-                           seen_fencing_token_, next_stamp_, free_stamp_}) {
+                    std::to_string(term_version_) + ' ' + std::to_string(lease_id_) + ' ';
+  out += in(lease_until_) + in(renew_at_) + in(candidacy_at_) + leader_ + ' ' + successor_ + ' ';
+  for (const uint64_t n : {leader_version_, last_leader_version_, seen_term_, seen_term_version_,
+                           seen_fencing_token_, successor_version_, vacated_version_}) {
     out += std::to_string(n) + ' ';
   }
-  return out + (renewing_ ? "r" : "") + (retiring_ ? "e" : "") + (handing_over_ ? "h" : "") +
-         (control_cache_.synced() ? "s" : "");
+  return out + (renewing_ ? "r" : "") + (handover_requested_ ? "e" : "") +
+         (handover_in_flight_ ? "h" : "") + (control_cache_.synced() ? "s" : "");
 }
 
-void Election::StepDown(Micros now, const std::string& why, Micros aside) {
+void Election::StepDown(Micros now, const std::string& reason, Micros pause) {
   if (!leads()) return;
-  outbox_->Info("stepping down from term " + std::to_string(term_) + ": " + why);
+  outbox_->Info("stepping down from term " + std::to_string(term_) + ": " + reason);
   role_ = Role::kFollower;
   if (leader_ == member_) leader_.clear();
-  stand_at_ = now + aside;
-  StateRequest drop;
-  drop.kind = StateRequest::Kind::kRevokeLease;
-  drop.lease = lease_id_;
-  outbox_->SendState(drop, [](Micros, StateResponse&) {});
-  callbacks_.lost(now);
+  candidacy_at_ = now + pause;
+  RevokeLease(lease_id_);
+  callbacks_.on_lost(now);
 }
 
 }  // namespace badgershore
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,6 +1,8 @@
-// Who leads: a leased key and a counted term. No part of this knows what leading means.
+// Leader election of one cell through the state service: a key under a lease and a counted term.
 #pragma once
 
+#include <algorithm>
+#include <cstdint>
 #include <functional>
 #include <string>
 
@@ -9,38 +11,45 @@
 
 namespace badgershore {
 
-// Clocks of two hosts run apart by at most this share (PROTOCOL); taken twice for good measure.
+// Share of a span by which the clocks of two hosts may run apart: twice the protocol's bound.
 constexpr double kClockDrift = 0.001;
 
+// Stands for the leader key when it is free, renews its lease while leading, and steps down when
+// the lease can't be renewed in time or the key is seen to have changed. What a leader does with
+// its term is up to the callbacks.
 class Election {
  public:
   struct Callbacks {
-    std::function<void(Micros)> won;
-    std::function<void(Micros)> lost;
-    std::function<void(Micros, const Entry&)> control;  // other entries under ctl/
+    std::function<void(Micros)> on_elected;
+    std::function<void(Micros)> on_lost;
+    // Entries under the control prefix that are not the election's own.
+    std::function<void(Micros, const Entry&)> on_control_entry;
   };
+  // `position`: how many members go first when nobody leads. `lease`: the leader lease's duration.
   Election(Outbox* outbox, std::string member, int position, Micros lease, Callbacks callbacks);
 
   void Tick(Micros now);
-  // `aside`: no standing again before.
-  void StepDown(Micros now, const std::string& why, Micros aside = Millis(500));
+  // Ends the term and revokes the lease; does not stand again before `now + pause`. No effect on a
+  // follower.
+  void StepDown(Micros now, const std::string& reason, Micros pause = Millis(500));
 
-  // Gives the place up to `successor`, in the transaction that ends it, and does not stand again.
-  // From here on nothing starts. Repeated until it is done or the lease is over.
+  // Deletes the leader key and names `successor` in one transaction, and never stands again. From
+  // here on MayStart is false. Call again until `handed_over` or the lease has expired.
   void HandOver(Micros now, const std::string& successor);
-  bool retired() const { return retiring_ && role_ == Role::kFollower; }
+  bool handed_over() const { return handover_requested_ && role_ == Role::kFollower; }
 
-  // How many others go before this one when nobody leads.
   void SetPosition(int position) { position_ = position; }
   bool leads() const { return role_ == Role::kLeader; }
   // The lease surely holds at `now`, counted from when its last renewal was sent.
-  bool MayStart(Micros now) const { return leads() && !retiring_ && now < lease_until_; }
-  // What it decides now may leave this process until then.
+  bool MayStart(Micros now) const { return leads() && !handover_requested_ && now < lease_until_; }
+  // What is decided now may leave this process until then.
   Micros lease_until() const { return lease_until_; }
-  // When the state service last confirmed the lease, counted from when that was asked.
+  // When the last renewal that the state service confirmed was sent.
   Micros confirmed_at() const { return confirmed_at_; }
   uint64_t term() const { return term_; }
-  uint64_t term_stamp() const { return term_stamp_; }
+  // Version of the term record that this leader wrote: a precondition of all its transactions.
+  uint64_t term_version() const { return term_version_; }
+  // The leader as the state service shows it; empty: none.
   const std::string& leader() const { return leader_; }
   uint64_t seen_term() const { return seen_term_; }
   // A fencing token seen at a worker: the next term must be above it.
@@ -48,20 +57,27 @@
     seen_fencing_token_ = std::max(seen_fencing_token_, fencing_token);
   }
   bool synced() const { return control_cache_.synced(); }
-  // All that it goes by, with times from now on: equal for states that go on alike.
-  std::string Show(Micros now) const;
+  // The whole state with times relative to `now`, for state space exploration: equal for two
+  // elections that behave alike from here on.
+  std::string Fingerprint(Micros now) const;
 
  private:
   enum class Role { kFollower, kCandidate, kLeader };
-  void Stand(Micros now);
-  // Nobody leads, or only this process' last life, which is gone.
-  bool Vacant() const { return lead_stamp_ == 0 || lead_stamp_ == last_life_; }
+  void StartCandidacy(Micros now);
+  // Writes the leader key and the term under `lease`, which was requested at `sent`.
+  void WriteTerm(Micros sent, uint64_t lease);
+  void OnElected(Micros now, Micros sent, uint64_t lease, uint64_t term, uint64_t revision);
+  void RevokeLease(uint64_t lease);
+  // The leader key is absent, or was left by this member's previous run.
+  bool Vacant() const { return leader_version_ == 0 || leader_version_ == previous_run_version_; }
   void Renew(Micros now);
-  void WaitForTurn(Micros now);
-  void OnControl(Micros now, const Entry& e);
-  Micros UsableLease(Micros sent) const {
-    return sent + lease_.Scaled(1 - kClockDrift) - Millis(50);
-  }
+  void ScheduleCandidacy(Micros now);
+  void OnControlEntry(Micros now, const Entry& entry);
+  void OnLeaderEntry(Micros now, const Entry& entry);
+  void OnSuccessorEntry(Micros now, const Entry& entry);
+  void OnTermEntry(const Entry& entry);
+  // Until when a lease requested at `sent` may be relied on here.
+  Micros UsableLease(Micros sent) const;
 
   Outbox* outbox_;
   std::string member_;
@@ -70,20 +86,29 @@
   Callbacks callbacks_;
   KeyRangeCache control_cache_;
   Role role_ = Role::kFollower;
-  uint64_t term_ = 0, term_stamp_ = 0, lease_id_ = 0;
-  Micros lease_until_, confirmed_at_, renew_at_;
-  // The place as this process found it when it began, if under its own name: its last life's.
-  uint64_t last_life_ = 0;
+  uint64_t term_ = 0;
+  uint64_t term_version_ = 0;
+  uint64_t lease_id_ = 0;
+  Micros lease_until_;
+  Micros confirmed_at_;
+  Micros renew_at_;
+  // Version of the leader key as first read, if it named this member: its previous run's.
+  uint64_t previous_run_version_ = 0;
   bool renewing_ = false;
-  bool retiring_ = false, handing_over_ = false;
-  // Whom the last leader named, and by which revision.
-  std::string next_;
-  uint64_t next_stamp_ = 0, free_stamp_ = 0;  // free: since when nobody leads
-  // As the state service shows them.
+  bool handover_requested_ = false;
+  bool handover_in_flight_ = false;
+  // Whom the last leader named, and the versions of that record and of the leader key's deletion.
+  std::string successor_;
+  uint64_t successor_version_ = 0;
+  uint64_t vacated_version_ = 0;
+  // As the state service shows them. leader_version_ is 0 while the key is absent.
   std::string leader_;
-  uint64_t lead_stamp_ = 0, lead_revision_ = 0, seen_term_ = 0, seen_term_stamp_ = 0,
-           seen_fencing_token_ = 0;
-  Micros stand_at_;
+  uint64_t leader_version_ = 0;
+  uint64_t last_leader_version_ = 0;
+  uint64_t seen_term_ = 0;
+  uint64_t seen_term_version_ = 0;
+  uint64_t seen_fencing_token_ = 0;
+  Micros candidacy_at_;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -39,7 +39,7 @@
   if (job.cancel_pending) return true;
   // A job recorded after this term began can't have been started by an earlier leader: that one
   // starts nothing past its lease, which ended before.
-  if (unresolved_.empty() || job.version > election()->term_stamp()) return false;
+  if (unresolved_.empty() || job.version > election()->term_version()) return false;
   for (const Machine* m : unresolved_) {
     if (!m->type || Allows(job.spec, *m->type, m->zone, m->spot)) return true;
   }
--- a/src/core/leader/recorder.cpp
+++ b/src/core/leader/recorder.cpp
@@ -174,7 +174,7 @@
   const size_t most = static_cast<size_t>(std::max(3, settings().state_txn_ops));
   StateRequest op;
   op.kind = StateRequest::Kind::kCompareAndSwap;
-  op.preconditions.push_back({keys::kTerm, election()->term_stamp()});
+  op.preconditions.push_back({keys::kTerm, election()->term_version()});
   auto batch = std::make_shared<Batch>();
   const auto room = [&](size_t n) {
     return op.mutations.size() + n <= most &&
--- a/src/core/leader/rights.cpp
+++ b/src/core/leader/rights.cpp
@@ -170,7 +170,7 @@
   writing_ = true;
   StateRequest op;
   op.kind = StateRequest::Kind::kCompareAndSwap;
-  op.preconditions = {{keys::kTerm, election()->term_stamp()}, {keys::kEscrow, stamp_}};
+  op.preconditions = {{keys::kTerm, election()->term_version()}, {keys::kEscrow, stamp_}};
   op.mutations.push_back({keys::kEscrow, false, *record, 0});
   outbox()->SendState(op, Guarded([this, number = record->number](Micros t, StateResponse& r) {
                         Written(t, r, number);
--- a/src/rehearsal/nodes.cpp
+++ b/src/rehearsal/nodes.cpp
@@ -101,7 +101,7 @@
          } else if (status != kNoAnswer) {
            r = wire::ParseStateAnswer(op, status, body);
          }
-         nodes_[index].core->OnState(now_, id, std::move(r));
+         nodes_[index].core->OnStateResponse(now_, id, std::move(r));
          PumpNode(index);
        });
 }
@@ -109,7 +109,7 @@
 void World::PumpNode(size_t index) {
   Node& n = nodes_[index];
   const std::string name = NodeName(index);
-  Effects out = n.core->Take();
+  Effects out = n.core->TakeEffects();
   const auto answer = [&](RequestId token, int status, std::string body) {
     auto it = n.callers.find(token);
     if (it == n.callers.end()) return;
@@ -130,14 +130,14 @@
     for (size_t k = 0; k < nodes_.size(); ++k) {
       if (k == index) continue;
       Deliver(name, NodeName(k), false, [this, k, note] {
-        WhenAwake(k, [this, note](Controller* core) { core->OnPeer(now_, note); });
+        WhenAwake(k, [this, note](Controller* core) { core->OnPeerStatus(now_, note); });
       });
     }
   }
   for (const membership::Message& m : out.membership_messages) {
     const size_t k = NodeIndex(m.to);
     Deliver(name, m.to, false, [this, k, m] {
-      WhenAwake(k, [this, m](Controller* core) { core->OnMember(now_, m); });
+      WhenAwake(k, [this, m](Controller* core) { core->OnMembershipMessage(now_, m); });
     });
   }
   for (const CellDelivery& send : out.cell_deliveries) TellCell(index, send);
@@ -159,7 +159,7 @@
       if (now_ - start > Seconds(1)) {
         StateResponse r;
         r.outcome = StateResponse::Outcome::kRefused;
-        node.core->OnState(now_, op.id, r);
+        node.core->OnStateResponse(now_, op.id, r);
         return PumpNode(index);
       }
       Later(now_ + Millis(20), [self = weak.lock()] { (*self)(); });
@@ -175,7 +175,7 @@
            } else if (status != kNoAnswer) {
              r = wire::ParseCloudAnswer(op, status, body);
            }
-           nodes_[index].core->OnCloud(now_, op.id, std::move(r));
+           nodes_[index].core->OnCloudResponse(now_, op.id, std::move(r));
            PumpNode(index);
          });
   }
@@ -186,7 +186,7 @@
            CommandResponse r;
            r.status = std::max(status, 0);
            if (status > 0) r.heartbeat = wire::ParseReport(body);
-           nodes_[index].core->OnDirect(now_, id, std::move(r));
+           nodes_[index].core->OnCommandResponse(now_, id, std::move(r));
            PumpNode(index);
          });
   }
@@ -198,15 +198,15 @@
   if (n.frozen_until > now_) {
     return Later(n.frozen_until, [this, index, id, call] { ServeNode(index, id, call); });
   }
-  if (call.target == "/healthz") return Respond(id, n.core->Healthy(now_) ? 200 : 503, "{}");
+  if (call.target == "/healthz") return Respond(id, n.core->IsHealthy(now_) ? 200 : 503, "{}");
   const RequestId token = ++n.next_token;
   n.callers[token] = id;
   if (call.target == "/checkin") {
-    n.core->OnCheckin(now_, token, *wire::ParseReport(call.body));
+    n.core->OnHeartbeat(now_, token, *wire::ParseReport(call.body));
   } else if (call.target == "/work") {
     n.core->OnSubmit(now_, token, wire::ParseSubmission(call.body, now_.ToMillis()));
   } else if (call.target.ends_with("/withdraw")) {
-    n.core->OnWithdraw(now_, token, call.target.substr(6, call.target.size() - 15));
+    n.core->OnCancel(now_, token, call.target.substr(6, call.target.size() - 15));
   } else {
     n.core->OnQuery(now_, token, call.target.substr(6));
   }
@@ -246,7 +246,8 @@
     for (const std::string& to : send.addresses) {
       const size_t k = NodeIndex(to);
       Later(at, [other, k, note = send.message] {
-        other->WhenAwake(k, [other, note](Controller* core) { core->OnCell(other->now_, note); });
+        other->WhenAwake(
+            k, [other, note](Controller* core) { core->OnCellMessage(other->now_, note); });
       });
     }
   }
--- a/src/rehearsal/troubles.cpp
+++ b/src/rehearsal/troubles.cpp
@@ -122,7 +122,7 @@
           continue;
         }
         Note("retires " + NodeName(i));
-        nodes_[i].core->Retire(now_);
+        nodes_[i].core->BeginHandover(now_);
         PumpNode(i);
         Later(now_ + Millis(1200),
               [this, i, life = nodes_[i].life, back = std::max(t.span, Seconds(2))] {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -135,22 +135,22 @@
   Micros now = Seconds(100);
   const auto flood = [&](int jobs) {
     int away = 0;
-    for (int i = 0; i < jobs; ++i) away += a.TurnAway(now, "guests") > 0;
+    for (int i = 0; i < jobs; ++i) away += a.RetryAfterSeconds(now, "guests") > 0;
     return away;
   };
-  EXPECT_EQ(a.TurnAway(now, "home"), 0);
+  EXPECT_EQ(a.RetryAfterSeconds(now, "home"), 0);
   EXPECT_EQ(flood(50), 0);  // nothing has been refused
-  a.Limited(now);
+  a.OnRateLimited(now);
   EXPECT_EQ(flood(20), 20);
-  EXPECT_EQ(a.TurnAway(now, "home"), 0);
-  EXPECT_EQ(a.TurnAway(now, "third"), 0);
-  EXPECT_LE(a.TurnAway(now, "guests"), 10);  // a time that its user still waits for
+  EXPECT_EQ(a.RetryAfterSeconds(now, "home"), 0);
+  EXPECT_EQ(a.RetryAfterSeconds(now, "third"), 0);
+  EXPECT_LE(a.RetryAfterSeconds(now, "guests"), 10);  // a time that its user still waits for
   now = now + Seconds(4);
   EXPECT_EQ(flood(1), 0);  // the limit has not been met again
   // A team alone is never turned away here, whatever it sends.
   AdmissionControl alone;
-  alone.Limited(now);
-  for (int i = 0; i < 100; ++i) EXPECT_EQ(alone.TurnAway(now, "home"), 0);
+  alone.OnRateLimited(now);
+  for (int i = 0; i < 100; ++i) EXPECT_EQ(alone.RetryAfterSeconds(now, "home"), 0);
 }
 
 TEST(Renting, KeepsRoomForWhatCameBeforeTheReign) {
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -241,7 +241,7 @@
       return;
     }
     if (verb == "retire") {
-      core_->Retire(now_);
+      core_->BeginHandover(now_);
       return Pump();
     }
     if (verb == "job") return SubmitJob(w);
@@ -250,7 +250,7 @@
       return Pump();
     }
     if (verb == "withdraw") {
-      core_->OnWithdraw(now_, ++token_, w.At(1));
+      core_->OnCancel(now_, ++token_, w.At(1));
       return Pump();
     }
     if (verb == "answers") return Expect(line.substr(8), last_answer_);
@@ -288,7 +288,7 @@
       note.receives_heartbeats = w.Has("hears");
       if (w.named.contains("calls_off")) note.cancelling = {w.Text("calls_off")};
       if (w.named.contains("called_off")) note.cancelled = {w.Text("called_off")};
-      core_->OnPeer(now_, note);
+      core_->OnPeerStatus(now_, note);
       return Pump();
     }
     if (verb == "leads" || verb == "follows") {
@@ -318,7 +318,7 @@
   // Carries out what the core asks for, until it asks for nothing more.
   void Pump() {
     for (int round = 0; round < 200; ++round) {
-      Effects out = core_->Take();
+      Effects out = core_->TakeEffects();
       for (const HeartbeatResponse& a : out.heartbeat_responses) {
         if (a.request_id != checkin_token_) continue;
         last_checkin_ = std::to_string(a.status);
@@ -358,7 +358,7 @@
     }
     StateResponse r;
     if (lists_hang_ && op.kind == StateRequest::Kind::kList) {
-      core_->OnState(now_, op.id, std::move(r));
+      core_->OnStateResponse(now_, op.id, std::move(r));
       return false;  // it is asked again, but not at the same moment
     }
     switch (store_.mode) {
@@ -377,7 +377,7 @@
         r.outcome = StateResponse::Outcome::kUnknown;
         break;
     }
-    core_->OnState(now_, op.id, std::move(r));
+    core_->OnStateResponse(now_, op.id, std::move(r));
     return true;
   }
 
@@ -395,7 +395,7 @@
         watches_.push_back(w);
       } else {
         any = true;
-        core_->OnState(now_, w.op.id, std::move(r));
+        core_->OnStateResponse(now_, w.op.id, std::move(r));
       }
     }
     return any;
@@ -421,7 +421,7 @@
     if (cloud_up_ && op.kind == CloudRequest::Kind::kListMachineTypes) r.types = types_;
     if (cloud_up_ && op.kind == CloudRequest::Kind::kListInstances) r.instances = listed_;
     if (cloud_silent_) r.outcome = CloudResponse::Outcome::kUnknown;
-    core_->OnCloud(now_, op.id, std::move(r));
+    core_->OnCloudResponse(now_, op.id, std::move(r));
   }
 
   void SubmitJob(const Words& w) {
@@ -500,7 +500,7 @@
   void SendReport(const Words& w, const std::string& tail) {
     last_checkin_ = "no answer yet";
     checkin_token_ = ++token_;
-    core_->OnCheckin(now_, checkin_token_, ReadReport(w, w.At(1), tail));
+    core_->OnHeartbeat(now_, checkin_token_, ReadReport(w, w.At(1), tail));
     Pump();
   }
 
@@ -512,7 +512,7 @@
     CommandResponse r;
     r.status = std::stoi(w.At(2));
     if (r.status != 0) r.heartbeat = ReadReport(w, w.At(1), tail);
-    core_->OnDirect(now_, op.id, std::move(r));
+    core_->OnCommandResponse(now_, op.id, std::move(r));
     Pump();
   }
 
