--- a/src/adapters/node.cpp
+++ b/src/adapters/node.cpp
@@ -40,11 +40,11 @@
           loop, [this](http::Message m) { return Handle(std::move(m)); },
           static_cast<size_t>(settings.quota_connections) * 7 / 10) {}
 
-bool Node::Start(std::string* error) {
-  if (!server_.Start(settings_.client_listen, error)) return false;
-  if (!link_.Start(error)) return false;
+Result<void> Node::Start() {
+  if (auto started = server_.Start(settings_.client_listen); !started) return started;
+  if (auto started = link_.Start(); !started) return started;
   io::Spawn(Ticks());
-  return true;
+  return {};
 }
 
 void Node::End(std::function<void()> done) { io::Spawn(WindDown(std::move(done))); }
--- a/src/adapters/node.h
+++ b/src/adapters/node.h
@@ -9,6 +9,7 @@
 #include "adapters/metrics.h"
 #include "adapters/state_client.h"
 #include "core/controller/controller.h"
+#include "error/error.h"
 #include "http/server.h"
 #include "peer/link.h"
 
@@ -17,7 +18,8 @@
 class Node {
  public:
   Node(io::Loop* loop, const PlatformSettings& settings, Options options);
-  bool Start(std::string* error);
+  // Listens for users, workers and peers, and runs the core from then on.
+  [[nodiscard]] Result<void> Start();
   // Hands over, goes on answering for a moment, and then calls `done`.
   void End(std::function<void()> done);
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -7,11 +7,12 @@
 constexpr Micros kWrite = Seconds(10);
 }  // namespace
 
-bool Server::Start(const std::string& addr, std::string* error) {
-  listener_ = io::Socket::Listen(loop_, addr, error);
-  if (!listener_.open()) return false;
+Result<void> Server::Start(const std::string& addr) {
+  Result<io::Socket> listener = io::Socket::Listen(loop_, addr);
+  if (!listener) return tl::make_unexpected(std::move(listener.error()));
+  listener_ = std::move(*listener);
   io::Spawn(AcceptLoop());
-  return true;
+  return {};
 }
 
 io::Task<void> Server::AcceptLoop() {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <string>
 
+#include "error/error.h"
 #include "http/message.h"
 #include "io/loop.h"
 
@@ -25,7 +26,8 @@
         max_connections_(max_connections),
         limits_(limits) {}
 
-  bool Start(const std::string& addr, std::string* error);
+  // Listens on `addr` (IPV4:PORT) and serves from then on.
+  [[nodiscard]] Result<void> Start(const std::string& addr);
   std::string address() const { return listener_.LocalAddress(); }
 
  private:
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -163,32 +163,42 @@
   co_return socket;
 }
 
-constexpr Micros kAddressPatience = Seconds(10);
+namespace {
 
-Socket Socket::Listen(Loop* loop, const std::string& addr, std::string* error) {
-  sockaddr_in sa{};
-  if (!ParseAddr(addr, &sa, 0)) {
-    *error = "'" + addr + "' is not an IPv4 address with a port";
-    return Socket();
-  }
-  const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  int one = 1;
-  if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof(one));
-  const auto take = [&] {
-    return fd >= 0 && ::bind(fd, reinterpret_cast<sockaddr*>(&sa), sizeof(sa)) == 0 &&
-           ::listen(fd, 256) == 0;
-  };
-  bool taken = take();
-  // A process that is back at once may find its predecessor's socket not yet closed.
-  const Micros latest = Loop::Now() + kAddressPatience;
-  while (!taken && fd >= 0 && errno == EADDRINUSE && Loop::Now() < latest) {
+constexpr Micros kAddressInUseTimeout = Seconds(10);
+constexpr int kListenBacklog = 256;
+
+bool BindAndListen(int fd, const sockaddr_in& address) {
+  return fd >= 0 && ::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) == 0 &&
+         ::listen(fd, kListenBacklog) == 0;
+}
+
+// A restarted process may find its predecessor's socket not yet closed. errno tells of a failure.
+bool BindAndListenRetrying(int fd, const sockaddr_in& address) {
+  bool listening = BindAndListen(fd, address);
+  const Micros deadline = Loop::Now() + kAddressInUseTimeout;
+  while (!listening && fd >= 0 && errno == EADDRINUSE && Loop::Now() < deadline) {
     ::usleep(20000);
-    taken = take();
+    listening = BindAndListen(fd, address);
   }
-  if (!taken) {
-    *error = "can't listen on " + addr + ": " + std::strerror(errno);
+  return listening;
+}
+
+}  // namespace
+
+Result<Socket> Socket::Listen(Loop* loop, const std::string& addr) {
+  sockaddr_in address{};
+  if (!ParseAddr(addr, &address, 0)) {
+    return MakeError(ErrorCode::kInvalidAddress,
+                     "'" + addr + "' is not an IPv4 address with a port");
+  }
+  const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
+  const int reuse_address = 1;
+  if (fd >= 0) setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &reuse_address, sizeof(reuse_address));
+  if (!BindAndListenRetrying(fd, address)) {
+    std::string message = "can't listen on " + addr + ": " + std::strerror(errno);
     if (fd >= 0) ::close(fd);
-    return Socket();
+    return MakeError(ErrorCode::kAddressUnavailable, std::move(message));
   }
   return Socket(loop, fd);
 }
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -12,6 +12,7 @@
 #include <utility>
 
 #include "core/model/time.h"
+#include "error/error.h"
 #include "io/task.h"
 
 namespace badgershore::io {
@@ -88,8 +89,9 @@
   void Close();
 
   static Task<Socket> Connect(Loop* loop, std::string addr, Micros deadline);
-  // Port 0 takes a free one; LocalAddress tells which.
-  static Socket Listen(Loop* loop, const std::string& addr, std::string* error);
+  // `addr`: IPV4:PORT; port 0 takes a free one, see LocalAddress. Blocks for up to 10 s while the
+  // address is in use.
+  [[nodiscard]] static Result<Socket> Listen(Loop* loop, const std::string& addr);
   std::string LocalAddress() const;
   Task<Socket> Accept();
 
--- a/src/peer/link.cpp
+++ b/src/peer/link.cpp
@@ -24,11 +24,12 @@
   }
 }
 
-bool Link::Start(std::string* error) {
-  listener_ = io::Socket::Listen(loop_, listen_, error);
-  if (!listener_.open()) return false;
+Result<void> Link::Start() {
+  Result<io::Socket> listener = io::Socket::Listen(loop_, listen_);
+  if (!listener) return tl::make_unexpected(std::move(listener.error()));
+  listener_ = std::move(*listener);
   io::Spawn(Accept());
-  return true;
+  return {};
 }
 
 void Link::Send(const PeerStatus& note) {
--- a/src/peer/link.h
+++ b/src/peer/link.h
@@ -9,6 +9,7 @@
 
 #include "core/model/effects.h"
 #include "core/model/settings.h"
+#include "error/error.h"
 #include "io/loop.h"
 
 namespace badgershore::peer {
@@ -20,7 +21,8 @@
   using OnCell = std::function<void(limits::CellMessage)>;
   Link(io::Loop* loop, const PlatformSettings& settings, OnNote on_note, OnCell on_cell,
        OnMember on_member);
-  bool Start(std::string* error);
+  // Listens for peers and serves from then on.
+  [[nodiscard]] Result<void> Start();
   void Send(const PeerStatus& note);
   void Send(const membership::Message& message);
   // To controllers of another cell.
--- a/src/programs/controller.cpp
+++ b/src/programs/controller.cpp
@@ -47,9 +47,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   io::Loop loop;
   adapters::Node node(&loop, settings, options);
-  std::string error;
-  if (!node.Start(&error)) {
-    std::fprintf(stderr, "badgershore: %s\n", error.c_str());
+  if (const auto started = node.Start(); !started) {
+    std::fprintf(stderr, "badgershore: %s\n", started.error().message.c_str());
     return 1;
   }
   io::OnEndSignals(&loop, [&] { node.End([&] { loop.Stop(); }); });
--- a/src/programs/rehearse.cpp
+++ b/src/programs/rehearse.cpp
@@ -159,12 +159,12 @@
   CheckPlayable(scenario, file);
   const std::string dir = TemporaryFolder();
   Result result;
-  std::string error;
   {
     io::Loop loop;
     rehearsal::Site site(&loop, scenario, {ProgramFolder(), dir, "127.0.0.1:0", seed, 1, ""});
     const Micros start = io::Loop::Now();
-    if (!site.Start([&] { loop.Stop(); }, &error)) throw config::Error(error);
+    const auto started = site.Start([&] { loop.Stop(); });
+    if (!started) throw config::Error(started.error().message);
     bool interrupted = false;
     io::OnEndSignals(&loop, [&] {
       interrupted = true;
@@ -212,9 +212,8 @@
   {
     io::Loop loop;
     rehearsal::Site site(&loop, scenario, {ProgramFolder(), dir, listen, 1, 1, ""});
-    std::string error;
-    if (!site.Start([&] { loop.Stop(); }, &error)) {
-      std::fprintf(stderr, "badgershore-rehearse: %s\n", error.c_str());
+    if (const auto started = site.Start([&] { loop.Stop(); }); !started) {
+      std::fprintf(stderr, "badgershore-rehearse: %s\n", started.error().message.c_str());
       code = 1;
     } else {
       io::OnEndSignals(&loop, [&] { site.Stop(); });
--- a/src/programs/state.cpp
+++ b/src/programs/state.cpp
@@ -49,9 +49,8 @@
   io::Loop loop;
   store::Service service(&loop, &engine, settings.limits,
                          static_cast<size_t>(settings.max_connections));
-  std::string error;
-  if (!service.Start(listen, &error)) {
-    std::fprintf(stderr, "badgershore-state: %s\n", error.c_str());
+  if (const auto started = service.Start(listen); !started) {
+    std::fprintf(stderr, "badgershore-state: %s\n", started.error().message.c_str());
     return 1;
   }
   io::OnEndSignals(&loop, [&] { loop.Stop(); });
@@ -74,9 +73,8 @@
   io::Loop loop;
   replication::ReplicatedService service(&loop, &engine, settings.limits, set, name,
                                          static_cast<size_t>(settings.max_connections));
-  std::string error;
-  if (!service.Start(&error)) {
-    std::fprintf(stderr, "badgershore-state: %s\n", error.c_str());
+  if (const auto started = service.Start(); !started) {
+    std::fprintf(stderr, "badgershore-state: %s\n", started.error().message.c_str());
     return 1;
   }
   io::OnEndSignals(&loop, [&] { loop.Stop(); });
--- a/src/rehearsal/site.cpp
+++ b/src/rehearsal/site.cpp
@@ -147,12 +147,13 @@
   std::filesystem::remove_all(StateData(replica), ignored);
 }
 
-bool Site::Start(std::function<void()> over, std::string* error) {
-  if (!cloud_.Start(cloud_addr_, error) || !relay_.Start(options_.listen, error)) return false;
+badgershore::Result<void> Site::Start(std::function<void()> over) {
+  if (auto started = cloud_.Start(cloud_addr_); !started) return started;
+  if (auto started = relay_.Start(options_.listen); !started) return started;
   processes_.Start(std::move(over));
   world_.Begin(io::Loop::Now());
   io::Spawn(Drive());
-  return true;
+  return {};
 }
 
 void Site::Stop() {
@@ -191,8 +192,8 @@
 std::string Site::OpenMachine(const std::string& id) {
   auto& server = machines_[id] = std::make_unique<http::Server>(
       loop_, [this, id](http::Message m) { return Serve(id, std::move(m)); }, 16);
-  std::string error;
-  return server->Start("127.0.0.1:0", &error) ? server->address() : "127.0.0.1:1";
+  const bool started = server->Start("127.0.0.1:0").has_value();
+  return started ? server->address() : "127.0.0.1:1";
 }
 
 // Its socket stays open and silent, as a machine that is gone would be.
--- a/src/rehearsal/site.h
+++ b/src/rehearsal/site.h
@@ -5,6 +5,7 @@
 #include <memory>
 #include <string>
 
+#include "error/error.h"
 #include "rehearsal/world.h"
 #include "site/process.h"
 #include "site/relay.h"
@@ -27,7 +28,7 @@
 
   // Ends when the scenario is over (`scenario` has jobs of its own) or at Stop; `over` is called
   // when no process is left.
-  bool Start(std::function<void()> over, std::string* error);
+  [[nodiscard]] badgershore::Result<void> Start(std::function<void()> over);
   void Stop();
   std::string address() const { return relay_.address(); }
   bool ready() const { return relay_.ready(); }
--- a/src/replication/service/service.cpp
+++ b/src/replication/service/service.cpp
@@ -96,10 +96,11 @@
   }
 }
 
-bool ReplicatedService::Start(std::string* error) {
-  if (!clients_.Start(self_.client, error) || !messages_.Start(self_.peer, error)) return false;
+Result<void> ReplicatedService::Start() {
+  if (auto started = clients_.Start(self_.client); !started) return started;
+  if (auto started = messages_.Start(self_.peer); !started) return started;
   io::Spawn(Ticks());
-  return true;
+  return {};
 }
 
 io::Task<void> ReplicatedService::Ticks() {
--- a/src/replication/service/service.h
+++ b/src/replication/service/service.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <unordered_map>
 
+#include "error/error.h"
 #include "http/client.h"
 #include "http/server.h"
 #include "io/mailbox.h"
@@ -28,7 +29,8 @@
   // the directory holds a state that is not a replica's.
   ReplicatedService(io::Loop* loop, store::Engine* engine, store::Limits limits,
                     const ReplicaSet& set, const std::string& name, size_t max_connections);
-  bool Start(std::string* error);
+  // Listens for clients and for the other replicas, and takes part from then on.
+  [[nodiscard]] Result<void> Start();
   const std::string& address() const { return self_.client; }
 
  private:
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -93,8 +93,8 @@
 
 Report Run::Play() {
   began_ = io::Loop::Now();
-  std::string error;
-  if (!site_->Start([this] { loop_.Stop(); }, &error)) throw config::Error(error);
+  const auto started = site_->Start([this] { loop_.Stop(); });
+  if (!started) throw config::Error(started.error().message);
   io::OnEndSignals(&loop_, [this] { Stop("interrupted"); });
   io::Spawn(Measure());
   loop_.Run();
--- a/src/site/relay.cpp
+++ b/src/site/relay.cpp
@@ -13,10 +13,10 @@
       server_(
           loop, [this](http::Message m) { return Handle(std::move(m)); }, 1024) {}
 
-bool Relay::Start(const std::string& addr, std::string* error) {
-  if (!server_.Start(addr, error)) return false;
+Result<void> Relay::Start(const std::string& addr) {
+  if (auto started = server_.Start(addr); !started) return started;
   for (size_t i = 0; i < nodes_.size(); ++i) io::Spawn(Probe(i));
-  return true;
+  return {};
 }
 
 bool Relay::ready() const {
--- a/src/site/relay.h
+++ b/src/site/relay.h
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "error/error.h"
 #include "http/client.h"
 #include "http/server.h"
 #include "site/core/balance.h"
@@ -15,7 +16,8 @@
 class Relay {
  public:
   Relay(io::Loop* loop, std::vector<std::string> nodes);
-  bool Start(const std::string& addr, std::string* error);
+  // Listens for users on `addr` (IPV4:PORT) and probes the controllers from then on.
+  [[nodiscard]] Result<void> Start(const std::string& addr);
   std::string address() const { return server_.address(); }
   // Some node can take requests.
   bool ready() const;
--- a/src/store/service/service.cpp
+++ b/src/store/service/service.cpp
@@ -65,10 +65,10 @@
         Flush();
       }) {}
 
-bool Service::Start(const std::string& addr, std::string* error) {
-  if (!server_.Start(addr, error)) return false;
+Result<void> Service::Start(const std::string& addr) {
+  if (auto started = server_.Start(addr); !started) return started;
   io::Spawn(Timers());
-  return true;
+  return {};
 }
 
 io::Task<void> Service::Timers() {
--- a/src/store/service/service.h
+++ b/src/store/service/service.h
@@ -9,6 +9,7 @@
 #include <thread>
 #include <unordered_map>
 
+#include "error/error.h"
 #include "http/server.h"
 #include "io/mailbox.h"
 #include "store/disk/engine.h"
@@ -43,7 +44,8 @@
 class Service {
  public:
   Service(io::Loop* loop, Engine* engine, Limits limits, size_t max_connections = 4096);
-  bool Start(const std::string& addr, std::string* error);
+  // Listens for clients on `addr` (IPV4:PORT) and serves from then on.
+  [[nodiscard]] Result<void> Start(const std::string& addr);
   std::string address() const { return server_.address(); }
   const Machine& machine() const { return machine_; }
 
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -15,10 +15,7 @@
 class StateService {
  public:
   explicit StateService(io::Loop* loop);
-  bool Start(const std::string& addr) {
-    std::string error;
-    return server_.Start(addr, &error);
-  }
+  bool Start(const std::string& addr) { return server_.Start(addr).has_value(); }
   void SetDown(bool down) { down_ = down; }
   bool Has(const std::string& key) const { return items_.count(key) > 0; }
 
@@ -52,10 +49,7 @@
 class Cloud {
  public:
   explicit Cloud(io::Loop* loop);
-  bool Start(const std::string& addr) {
-    std::string error;
-    return server_.Start(addr, &error);
-  }
+  bool Start(const std::string& addr) { return server_.Start(addr).has_value(); }
   std::set<std::string> returned;
 
  private:
