--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -1,11 +1,11 @@
 // What sharing limits among cells costs: notes and durable writes a second of each cell, their
-// sizes, and how soon need in one cell has nearly all. Pure machines, notes every half second,
+// sizes, and how soon demand in one cell has nearly all. Pure machines, notes every half second,
 // records written at once; no processes or network.
 #include <chrono>
 #include <cstdio>
 #include <random>
 
-#include "limits/escrow.h"
+#include "limits/quota_ledger.h"
 #include "peer/messages.h"
 #include "wire/records.h"
 
@@ -17,22 +17,22 @@
   double notes = 0, note_bytes = 0, writes = 0, record_bytes = 0, seconds = 0, spent_us = 0;
 };
 
-// `need`: what each cell's three teams have and want at a time.
+// `demand`: what each cell's three teams have and want at a time.
 template <typename Need>
-Sum Run(int cells, int seconds, Need need, double* nearly_all_s) {
+Sum Run(int cells, int seconds, Need demand, double* nearly_all_s) {
   limits::Settings settings;
   for (int i = 0; i < cells; ++i)
     settings.cells.push_back({"cell-" + std::to_string(i), true, false, ""});
   const int64_t whole = 5000000;
-  limits::Amounts wholes;
+  limits::TeamAmounts wholes;
   for (const char* team : {"counter", "desk", "accounts"}) {
     wholes[team] = {whole, limits::kUnlimited, whole / 2, 0};
   }
-  std::vector<limits::Escrow> all;
+  std::vector<limits::QuotaLedger> all;
   for (int i = 0; i < cells; ++i) {
     settings.self = settings.cells[static_cast<size_t>(i)].name;
     all.emplace_back(settings);
-    all.back().SetWhole(wholes);
+    all.back().SetTotals(wholes);
     all.back().Load(std::nullopt, 1);
   }
   Sum sum;
@@ -40,23 +40,23 @@
   for (int64_t now = 1000; now < seconds * 1000; now += 500) {
     const auto start = std::chrono::steady_clock::now();
     for (size_t i = 0; i < all.size(); ++i) {
-      for (const auto& [team, four] : wholes) all[i].SetNeed(team, need(i, now, team, all[i]));
+      for (const auto& [team, four] : wholes) all[i].SetDemand(team, demand(i, now, team, all[i]));
       all[i].Tick(now);
-      const auto write = [&sum](limits::Escrow* e) {
-        const auto record = e->ToWrite();
+      const auto write = [&sum](limits::QuotaLedger* e) {
+        const auto record = e->RecordToWrite();
         if (!record) return;
-        e->Written(record->number);
+        e->OnWritten(record->number);
         ++sum.writes;
         wire::Writer w;
         wire::PutRecord(&w, *record);
         sum.record_bytes = std::max(sum.record_bytes, static_cast<double>(w.Done().size()));
       };
       write(&all[i]);
-      for (const limits::CellMessage& note : all[i].Notes()) {
+      for (const limits::CellMessage& note : all[i].Messages()) {
         ++sum.notes;
         sum.note_bytes += static_cast<double>(peer::Encode(note).size());
         const auto to = static_cast<size_t>(std::stoi(note.to.substr(5)));
-        all[to].OnNote(note, now);
+        all[to].OnMessage(note, now);
       }
     }
     sum.spent_us +=
@@ -84,25 +84,25 @@
       std::printf("\n");
     };
     double after = -1;
-    const auto one = [](size_t i, int64_t now, const std::string&, const limits::Escrow&) {
-      limits::Need need;
-      if (i == 0 && now >= 10000) need.more = {9000000, 0, 9000000, 0};
-      return need;
+    const auto one = [](size_t i, int64_t now, const std::string&, const limits::QuotaLedger&) {
+      limits::QuotaDemand demand;
+      if (i == 0 && now >= 10000) demand.additional = {9000000, 0, 9000000, 0};
+      return demand;
     };
     const Sum in_one = Run(cells, 120, one, &after);
     show("in one", in_one, after);
-    // Each cell's need of each team is drawn anew every ten seconds.
-    std::map<std::pair<size_t, std::string>, limits::Need> drawn;
+    // Each cell's demand of each team is drawn anew every ten seconds.
+    std::map<std::pair<size_t, std::string>, limits::QuotaDemand> drawn;
     const auto changing = [&](size_t i, int64_t now, const std::string& team,
-                              const limits::Escrow& e) {
-      limits::Need& need = drawn[{i, team}];
+                              const limits::QuotaLedger& e) {
+      limits::QuotaDemand& demand = drawn[{i, team}];
       if (now % 10000 == 0) {
         const int64_t all = static_cast<int64_t>(random() % 4000000);
-        need.used[0] = std::min(all, e.Usable(team, limits::kLimitCpu));
-        need.more = {all - need.used[0], 0, all / 4, 0};
-        need.since_ms = now;
+        demand.used[0] = std::min(all, e.Usable(team, limits::kLimitCpu));
+        demand.additional = {all - demand.used[0], 0, all / 4, 0};
+        demand.waiting_since_ms = now;
       }
-      return need;
+      return demand;
     };
     show("changing", Run(cells, 300, changing, nullptr), -1);
   }
--- a/src/check/limits_model.cpp
+++ b/src/check/limits_model.cpp
@@ -12,19 +12,19 @@
   limits::Settings settings;
   settings.units = plan.whole;
   settings.floor_share = 0.5;
-  settings.least_share = 0;
-  settings.first_pause_ms = settings.most_pause_ms = 0;
+  settings.min_transfer_share = 0;
+  settings.min_reclaim_delay_ms = settings.max_reclaim_delay_ms = 0;
   for (int i = 0; i < plan.cells; ++i) settings.cells.push_back({Name(i), true, false, ""});
-  limits::Amounts whole;
+  limits::TeamAmounts whole;
   for (int t = 0; t < plan.teams; ++t) {
     whole[Team(t)] = {plan.whole, limits::kUnlimited, limits::kUnlimited, limits::kUnlimited};
   }
   for (int i = 0; i < plan.cells; ++i) {
     settings.self = Name(i);
-    CellState cell{limits::Escrow(settings), {}, {}, false, false, false, {}};
+    CellState cell{limits::QuotaLedger(settings), {}, {}, false, false, false, {}};
     cell.running.assign(static_cast<size_t>(plan.teams), 0);
-    cell.escrow.SetWhole(whole);
-    cell.escrow.Load(std::nullopt, ++nonce_);
+    cell.ledger.SetTotals(whole);
+    cell.ledger.Load(std::nullopt, ++nonce_);
     cells_.push_back(std::move(cell));
   }
   Begin();
@@ -34,15 +34,15 @@
 void LimitsModel::Begin() {
   for (int round = 0; round < 3; ++round) {
     for (CellState& c : cells_) {
-      const auto record = c.escrow.ToWrite();
+      const auto record = c.ledger.RecordToWrite();
       if (!record) continue;
-      c.escrow.Written(record->number);
+      c.ledger.OnWritten(record->number);
       c.stored = c.old_copy = *record;
       c.has_record = c.old_has = true;
     }
     for (const CellState& c : cells_) {
-      for (const CellMessage& note : c.escrow.Notes()) {
-        cells_[static_cast<size_t>(note.to[0] - 'a')].escrow.OnNote(note, 0);
+      for (const CellMessage& note : c.ledger.Messages()) {
+        cells_[static_cast<size_t>(note.to[0] - 'a')].ledger.OnMessage(note, 0);
       }
     }
   }
@@ -54,16 +54,16 @@
 void LimitsModel::Needs(int cell) {
   CellState& c = cells_[static_cast<size_t>(cell)];
   for (int t = 0; t < plan_.teams; ++t) {
-    limits::Need need;
-    need.used[kLimitCpu] = c.running[static_cast<size_t>(t)];
+    limits::QuotaDemand demand;
+    demand.used[kLimitCpu] = c.running[static_cast<size_t>(t)];
     const bool gang = cell == t;
-    need.more[kLimitCpu] = gang ? plan_.whole - plan_.cells + 1 : 1;
-    need.rank = gang ? 1 : 3;
-    need.whole = gang;
-    need.since_ms = 10 + cell;
+    demand.additional[kLimitCpu] = gang ? plan_.whole - plan_.cells + 1 : 1;
+    demand.priority = gang ? 1 : 3;
+    demand.all_or_nothing = gang;
+    demand.waiting_since_ms = 10 + cell;
     // The last cell's work comes and goes: what it runs is all that it wants.
-    if (!gang && cell == plan_.cells - 1) need.more[kLimitCpu] = 0;
-    c.escrow.SetNeed(Team(t), need);
+    if (!gang && cell == plan_.cells - 1) demand.additional[kLimitCpu] = 0;
+    c.ledger.SetDemand(Team(t), demand);
   }
 }
 
@@ -73,8 +73,8 @@
     const CellState& c = cells_[static_cast<size_t>(i)];
     const std::string self = Name(i);
     out.push_back("speaks " + self);
-    limits::Escrow probe = c.escrow;
-    if (probe.ToWrite()) {
+    limits::QuotaLedger probe = c.ledger;
+    if (probe.RecordToWrite()) {
       out.push_back("writes " + self);
       if (crashes_ > 0) out.push_back("ends-writing " + self);
     }
@@ -82,7 +82,7 @@
     if (restores_ > 0 && !(c.old_copy == c.stored)) out.push_back("restored " + self);
     for (int t = 0; t < plan_.teams; ++t) {
       const int64_t running = c.running[static_cast<size_t>(t)];
-      if (c.escrow.Usable(Team(t), kLimitCpu) > running) {
+      if (c.ledger.Usable(Team(t), kLimitCpu) > running) {
         out.push_back("starts " + self + Team(t));
       }
       if (running > 0) out.push_back("ends-task " + self + Team(t));
@@ -101,11 +101,11 @@
 
 void LimitsModel::Restart(int cell) {
   CellState& c = cells_[static_cast<size_t>(cell)];
-  limits::EscrowRecord record = c.stored;
+  limits::QuotaRecord record = c.stored;
   if (plan_.planted == Planted::kApplyTwice) {
-    for (auto& [peer, account] : record.accounts) account.taken -= account.taken > 0;
+    for (auto& [peer, account] : record.accounts) account.received -= account.received > 0;
   }
-  c.escrow.Load(c.has_record ? std::optional(record) : std::nullopt, ++nonce_);
+  c.ledger.Load(c.has_record ? std::optional(record) : std::nullopt, ++nonce_);
   Needs(cell);
 }
 
@@ -114,20 +114,20 @@
   Needs(cell);
   uint64_t decided = 0;
   for (const CellState& other : cells_) {
-    for (const auto& [to, account] : other.escrow.durable().accounts) decided += account.sent;
+    for (const auto& [to, account] : other.ledger.durable().accounts) decided += account.sent;
   }
-  if (decided < static_cast<uint64_t>(plan_.transfers)) c.escrow.Tick(0);
+  if (decided < static_cast<uint64_t>(plan_.transfers)) c.ledger.Tick(0);
   if (plan_.planted == Planted::kUseBeforeRecord || plan_.planted == Planted::kForgetAfterSend) {
-    if (auto record = c.escrow.ToWrite()) {
+    if (auto record = c.ledger.RecordToWrite()) {
       // Told that it is written while it is not: used (what was taken) or told (what was given)
       // before the record.
       const bool gives = record->held < c.stored.held;
       if ((plan_.planted == Planted::kForgetAfterSend) == gives && c.has_record) {
-        c.escrow.Written(record->number);
+        c.ledger.OnWritten(record->number);
       }
     }
   }
-  for (const CellMessage& note : c.escrow.Notes()) {
+  for (const CellMessage& note : c.ledger.Messages()) {
     on_its_way_[{cell, note.to[0] - 'a'}] = note;  // what was there is lost
   }
 }
@@ -140,13 +140,13 @@
   if (what == "speaks") {
     Speak(cell);
   } else if (what == "writes" || what == "ends-writing") {
-    const limits::EscrowRecord record = *c.escrow.ToWrite();
+    const limits::QuotaRecord record = *c.ledger.RecordToWrite();
     if (!c.has_record) c.old_copy = record;
     c.old_has = true;
     c.stored = record;
     c.has_record = true;
     if (what == "writes") {
-      c.escrow.Written(record.number);
+      c.ledger.OnWritten(record.number);
     } else {
       --crashes_;
       Restart(cell);
@@ -168,13 +168,13 @@
         note.from = Name(k);
         note.to = Name(cell);
         note.nonce = nonce_;
-        note.echo = nonce_;
+        note.echoed_nonce = nonce_;
         const auto& accounts = c.stored.accounts;
         if (auto it = accounts.find(note.from); it != accounts.end()) {
-          note.sent = it->second.taken;
-          note.taken = it->second.sent;
+          note.sent = it->second.received;
+          note.received = it->second.sent;
         }
-        c.escrow.OnNote(note, 0);
+        c.ledger.OnMessage(note, 0);
       }
     }
   } else if (what == "starts") {
@@ -193,20 +193,21 @@
       return;
     }
     from.erase(pair);
-    cells_[static_cast<size_t>(pair.second)].escrow.OnNote(note, 0);
+    cells_[static_cast<size_t>(pair.second)].ledger.OnMessage(note, 0);
   }
 }
 
 std::string LimitsModel::Key() const {
   std::string key;
   for (const CellState& c : cells_) {
-    key += c.escrow.Show() + "/" + limits::Show(c.stored) + "/" + limits::Show(c.old_copy);
+    key += c.ledger.DebugString() + "/" + limits::DebugString(c.stored) + "/" +
+           limits::DebugString(c.old_copy);
     for (const int64_t n : c.running) key += ' ' + std::to_string(n);
     key += c.restored ? "r;" : ";";
   }
-  for (const auto& [pair, note] : on_its_way_) key += limits::Show(note) + ';';
+  for (const auto& [pair, note] : on_its_way_) key += limits::DebugString(note) + ';';
   key += "late ";
-  for (const auto& [pair, note] : late_) key += limits::Show(note) + ';';
+  for (const auto& [pair, note] : late_) key += limits::DebugString(note) + ';';
   return key + std::to_string(crashes_) + ' ' + std::to_string(restores_) + ' ' +
          std::to_string(repeats_);
 }
@@ -229,11 +230,11 @@
     if (restored || !all) continue;
     for (int i = 0; i < plan_.cells; ++i) {
       for (const auto& [to, account] : cells_[static_cast<size_t>(i)].stored.accounts) {
-        auto way = account.under_way.find(Team(t));
+        auto way = account.in_transit.find(Team(t));
         const auto& other = cells_[static_cast<size_t>(to[0] - 'a')].stored.accounts;
         auto back = other.find(Name(i));
-        const uint64_t taken = back == other.end() ? 0 : back->second.taken;
-        if (way != account.under_way.end() && taken < account.sent) {
+        const uint64_t taken = back == other.end() ? 0 : back->second.received;
+        if (way != account.in_transit.end() && taken < account.sent) {
           rights += way->second[kLimitCpu];
         }
       }
--- a/src/check/limits_model.h
+++ b/src/check/limits_model.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "limits/escrow.h"
+#include "limits/quota_ledger.h"
 
 namespace badgershore::check {
 
@@ -33,8 +33,8 @@
 
  private:
   struct CellState {
-    limits::Escrow escrow;
-    limits::EscrowRecord stored, old_copy;
+    limits::QuotaLedger ledger;
+    limits::QuotaRecord stored, old_copy;
     bool has_record = false, old_has = false, restored = false;
     std::vector<int64_t> running;  // by team
   };
--- a/src/core/controller/machine_type_catalog.cpp
+++ b/src/core/controller/machine_type_catalog.cpp
@@ -1,6 +1,6 @@
 #include "core/controller/machine_type_catalog.h"
 
-#include "core/leader/rights.h"
+#include "core/leader/quota_shares.h"
 #include "core/model/fleet.h"
 
 namespace badgershore {
@@ -30,7 +30,7 @@
   const Resources all = spec.kind == JobKind::kArray ? spec.need : spec.need.Times(spec.tasks);
   // With several cells, the share that the others never transfer is out of reach here.
   const double share =
-      options_->cells.cells.empty() ? 1 : limits::Gatherable(LimitsSettings(options_->cells));
+      options_->cells.cells.empty() ? 1 : limits::GatherableShare(QuotaSettings(options_->cells));
   const auto exceeds = [&](int64_t needs, int64_t limit) {
     return limit > 0 && static_cast<double>(needs) > static_cast<double>(limit) * share;
   };
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -32,7 +32,7 @@
       gangs_(&context_),
       recorder_(&context_, now),
       provisioner_(&context_),
-      rights_(&context_),
+      quota_shares_(&context_),
       checkins_(&context_),
       sharing_(&context_),
       supervisor_(&context_) {
@@ -47,7 +47,7 @@
   context_.gangs = &gangs_;
   context_.recorder = &recorder_;
   context_.provisioner = &provisioner_;
-  context_.rights = &rights_;
+  context_.quota_shares = &quota_shares_;
   context_.checkins = &checkins_;
   context_.sharing = &sharing_;
   context_.supervisor = &supervisor_;
@@ -59,7 +59,7 @@
         // Progress is read after the jobs, so that each finds its job.
         LoadPrefix(keys::kProgress, "");
         LoadPrefix(keys::kFleet, "");
-        if (rights_.alone()) return;
+        if (quota_shares_.alone()) return;
         ++loading_;
         LoadPrefix(keys::kLimits, "");
       },
@@ -83,7 +83,7 @@
     if (!r.ok()) return load_again_.push_back({now + kLoadPause, prefix, after});
     for (const Entry& e : r.entries) {
       recorder_.Load(now, e);
-      rights_.Load(e);
+      quota_shares_.Load(e);
     }
     if (r.has_more && !r.entries.empty()) return LoadPrefix(prefix, r.entries.back().key);
     Loaded(now);
@@ -93,7 +93,7 @@
 void Leader::Loaded(Micros now) {
   if (--loading_ > 0) return;
   ready_ = true;
-  rights_.Begin(now);
+  quota_shares_.Begin(now);
   context_.outbox->Info("term " + std::to_string(context_.election->term()) +
                         " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
                         std::to_string(machine_table_.machines().size()) + " machines on record");
@@ -154,7 +154,7 @@
   if (gap > kStoodStill) machine_table_.Awoke(now);
   machine_table_.Watch(now);
   if (!context_.election->leads()) return;
-  rights_.Tick(now);
+  quota_shares_.Tick(now);
   job_table_.GoOn(now);
   job_table_.MarkPassedOver(now);
   job_table_.MarkGuaranteed(now);
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -16,8 +16,8 @@
 #include "core/leader/occupancy.h"
 #include "core/leader/part.h"
 #include "core/leader/provisioner.h"
+#include "core/leader/quota_shares.h"
 #include "core/leader/recorder.h"
-#include "core/leader/rights.h"
 #include "core/leader/sharing.h"
 #include "core/leader/supervisor.h"
 #include "core/outbox/key_range_cache.h"
@@ -42,14 +42,16 @@
   Micros GoodUntil(const std::vector<Command>& orders) const { return checkins_.GoodUntil(orders); }
   // The term is over: whoever still waits for an answer is to look elsewhere.
   void Dismiss();
-  void OnCell(Micros now, const limits::CellMessage& note) { rights_.OnNote(now, note); }
+  void OnCell(Micros now, const limits::CellMessage& message) {
+    quota_shares_.OnMessage(now, message);
+  }
   void CallOff(Micros now, const std::string& job) { job_table_.CallOff(now, job); }
   // It is recorded: halts leave at once, though this leader may be the one that can't read it.
   void CalledOff(Micros now, const std::string& job) {
     job_table_.CallOff(now, job);
     job_table_.EndJob(now, job);
   }
-  const Rights& rights() const { return rights_; }
+  const QuotaShares& quota_shares() const { return quota_shares_; }
   bool recording() const { return recorder_.writing(); }
   bool ready() const { return ready_; }
   bool Deaf(Micros now) const { return ready_ && machine_table_.Deaf(now); }
@@ -91,7 +93,7 @@
   Gangs gangs_;
   Recorder recorder_;
   Provisioner provisioner_;
-  Rights rights_;
+  QuotaShares quota_shares_;
   Checkins checkins_;
   Sharing sharing_;
   Supervisor supervisor_;
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -24,7 +24,7 @@
 class Occupancy;
 class Recorder;
 class Provisioner;
-class Rights;
+class QuotaShares;
 class MachineTable;
 class Sharing;
 class Supervisor;
@@ -51,7 +51,7 @@
   Occupancy* occupancy = nullptr;
   Recorder* recorder = nullptr;
   Provisioner* provisioner = nullptr;
-  Rights* rights = nullptr;
+  QuotaShares* quota_shares = nullptr;
   MachineTable* machine_table = nullptr;
   Sharing* sharing = nullptr;
   Supervisor* supervisor = nullptr;
@@ -83,7 +83,7 @@
   Occupancy& occupancy() const { return *context_->occupancy; }
   Recorder& recorder() const { return *context_->recorder; }
   Provisioner& provisioner() const { return *context_->provisioner; }
-  Rights& rights() const { return *context_->rights; }
+  QuotaShares& quota_shares() const { return *context_->quota_shares; }
   MachineTable& machine_table() const { return *context_->machine_table; }
   Sharing& sharing() const { return *context_->sharing; }
   Supervisor& supervisor() const { return *context_->supervisor; }
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -5,8 +5,8 @@
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
+#include "core/leader/quota_shares.h"
 #include "core/leader/recorder.h"
-#include "core/leader/rights.h"
 
 namespace badgershore {
 namespace {
@@ -219,7 +219,7 @@
     }
     outbox()->Debug("machines up " + std::to_string(up) + " booting " + std::to_string(booting) +
                     " jobs " + std::to_string(job_table().jobs().size()) + "; " +
-                    scaler().Summary() + occupancy().Summary() + rights().Summary());
+                    scaler().Summary() + occupancy().Summary() + quota_shares().Summary());
   }
 }
 
--- /dev/null
+++ b/src/core/leader/quota_shares.cpp
@@ -0,0 +1,262 @@
+#include "core/leader/quota_shares.h"
+
+#include <algorithm>
+#include <tuple>
+
+#include "core/leader/job_table.h"
+#include "core/leader/occupancy.h"
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kSendInterval = Millis(500);
+constexpr Micros kUpdateInterval = Millis(300);
+// After that a message goes to all controllers of a cell, not to its last known leader.
+constexpr Micros kLeaderExpires = Seconds(3);
+// Transfers received or acknowledged meanwhile share a write.
+constexpr Micros kWriteInterval = Millis(400);
+constexpr Micros kWriteRetryDelay = Millis(300);
+// A team whose limit has had room for so long waits for machines, not for quota.
+constexpr Micros kMachineShortageAfter = Seconds(20);
+
+limits::ResourceAmounts TotalsOf(const Team& team) {
+  const auto limit = [](int64_t said) { return said > 0 ? said : limits::kUnlimited; };
+  return {limit(team.limit.cpu), limit(team.limit.gpu), team.guarantee.cpu, team.guarantee.gpu};
+}
+
+bool MoreUrgent(const Job& a, const Job& b) {
+  return std::tie(a.spec.priority, a.spec.submitted_ms) <
+         std::tie(b.spec.priority, b.spec.submitted_ms);
+}
+
+}  // namespace
+
+limits::Settings QuotaSettings(const CellsPlan& plan) {
+  limits::Settings settings;
+  settings.self = plan.self;
+  for (const CellSite& cell : plan.cells) {
+    settings.cells.push_back({cell.name, cell.initial_member, cell.draining, cell.successor});
+  }
+  return settings;
+}
+
+QuotaShares::QuotaShares(const LeaderContext* context)
+    : Part(context), allowed_since_(settings().teams.size(), kNever) {
+  if (options().cells.cells.empty()) return;
+  ledger_ = std::make_unique<limits::QuotaLedger>(QuotaSettings(options().cells));
+  limits::TeamAmounts totals;
+  for (const Team& team : settings().teams) totals[team.name] = TotalsOf(team);
+  ledger_->SetTotals(totals);
+}
+
+void QuotaShares::Load(const Entry& entry) {
+  const auto* record = std::get_if<limits::QuotaRecord>(&entry.value);
+  if (!record || entry.key != keys::kEscrow) return;
+  loaded_record_ = *record;
+  record_version_ = entry.version;
+}
+
+void QuotaShares::Begin(Micros now) {
+  if (alone()) return;
+  ledger_->Load(loaded_record_, static_cast<uint64_t>(TimeOfDay(now)));
+  loaded_record_.reset();
+  UpdateDemand(now);
+  UpdateOccupancy();
+}
+
+void QuotaShares::Tick(Micros now) {
+  if (alone() || !ledger_->loaded()) return;
+  if (now >= update_at_) {
+    update_at_ = now + kUpdateInterval;
+    UpdateDemand(now);
+    ledger_->Tick(TimeOfDay(now));
+  }
+  UpdateOccupancy();
+  WriteRecord(now);
+  if (now >= send_at_) SendStatus(now);
+  LogRestriction();
+}
+
+void QuotaShares::LogRestriction() {
+  const std::string& reason = ledger_->restricted_to_floor_reason();
+  if (reason.empty() || reason == logged_reason_) return;
+  logged_reason_ = reason;
+  outbox()->Log(LogLine::Level::kError, "quota restricted to the floor share: " + reason);
+}
+
+void QuotaShares::AddJob(const Job& job, TeamWork* work) const {
+  work->all = work->all + job.spec.need.Times(job.remaining());
+  const int open = job.remaining() - job.placed;
+  if (open <= 0) return;
+  limits::QuotaDemand& demand = work->demand;
+  const int at_once = job.IsGang() || job.IsService() ? open : 1;
+  const Resources need_at_once = job.spec.need.Times(at_once);
+  if (work->waiting == Resources{}) demand.waiting_since_ms = job.spec.submitted_ms;
+  work->waiting = work->waiting + job.spec.need.Times(open);
+  work->largest = {std::max(work->largest.cpu, need_at_once.cpu),
+                   std::max(work->largest.gpu, need_at_once.gpu), 0};
+  demand.waiting_since_ms = std::min(demand.waiting_since_ms, job.spec.submitted_ms);
+  demand.priority = std::min(demand.priority, static_cast<int>(job.spec.priority));
+  if (job.IsGang() && job.placed == 0 && job.quota_blocked_since < kNever &&
+      (!work->first_gang || MoreUrgent(job, *work->first_gang))) {
+    work->first_gang = &job;
+  }
+  if (occupancy().LimitAllows(job, at_once)) work->allowed = true;
+}
+
+std::vector<QuotaShares::TeamWork> QuotaShares::SumUpJobs() const {
+  std::vector<TeamWork> teams(settings().teams.size());
+  for (const auto& [id, job] : job_table().jobs()) {
+    if (job->team < 0 || job->finishing) continue;
+    AddJob(*job, &teams[static_cast<size_t>(job->team)]);
+  }
+  return teams;
+}
+
+limits::QuotaDemand QuotaShares::DemandOf(Micros now, size_t team, const TeamWork& work) {
+  limits::QuotaDemand demand = work.demand;
+  const Resources used = occupancy().Used(static_cast<int>(team)) + occupancy().doubt();
+  const Resources& guarantee = settings().teams[team].guarantee;
+  demand.used = {used.cpu, used.gpu, 0, 0};
+  // Where the limit has room and work waits all the same, more quota would lie idle.
+  Micros& allowed_since = allowed_since_[team];
+  allowed_since = work.allowed ? std::min(allowed_since, now) : kNever;
+  const bool lacks_machines = work.allowed && now - allowed_since > kMachineShortageAfter;
+  const auto useful = [&](int64_t waiting, int64_t has, int64_t at_once) {
+    return lacks_machines ? std::min(waiting, std::max(has / 10, at_once)) : waiting;
+  };
+  demand.additional = {useful(work.waiting.cpu, used.cpu, work.largest.cpu),
+                       useful(work.waiting.gpu, used.gpu, work.largest.gpu),
+                       std::min(work.all.cpu, guarantee.cpu),
+                       std::min(work.all.gpu, guarantee.gpu)};
+  if (const Job* gang = work.first_gang) {
+    const Resources needed = gang->spec.need.Times(gang->remaining());
+    demand.all_or_nothing = true;
+    demand.priority = static_cast<int>(gang->spec.priority);
+    demand.waiting_since_ms = gang->spec.submitted_ms;
+    demand.additional[limits::kLimitCpu] = needed.cpu;
+    demand.additional[limits::kLimitGpu] = needed.gpu;
+  }
+  return demand;
+}
+
+void QuotaShares::UpdateDemand(Micros now) {
+  const std::vector<TeamWork> teams = SumUpJobs();
+  for (size_t team = 0; team < teams.size(); ++team) {
+    ledger_->SetDemand(settings().teams[team].name, DemandOf(now, team, teams[team]));
+  }
+}
+
+void QuotaShares::UpdateOccupancy() {
+  for (size_t team = 0; team < settings().teams.size(); ++team) {
+    const std::string& name = settings().teams[team].name;
+    const auto usable = [&](limits::ResourceKind kind) { return ledger_->Usable(name, kind); };
+    occupancy().SetRights(static_cast<int>(team),
+                          {usable(limits::kLimitCpu), usable(limits::kLimitGpu), 0},
+                          {usable(limits::kGuaranteeCpu), usable(limits::kGuaranteeGpu), 0});
+  }
+}
+
+void QuotaShares::OnMessage(Micros now, const limits::CellMessage& message) {
+  if (alone() || !ledger_->OnMessage(message, TimeOfDay(now))) return;
+  leader_addresses_[message.from] = message.leader_address;
+  heard_at_[message.from] = now;
+  UpdateOccupancy();
+  WriteRecord(now);
+}
+
+std::vector<std::string> QuotaShares::AddressesOf(Micros now, const std::string& cell) {
+  auto heard = heard_at_.find(cell);
+  if (heard != heard_at_.end() && now - heard->second < kLeaderExpires) {
+    return {leader_addresses_[cell]};
+  }
+  std::vector<std::string> addresses;
+  for (const CellSite& site : options().cells.cells) {
+    if (site.name == cell) addresses = site.addresses;
+  }
+  return addresses;
+}
+
+void QuotaShares::SendStatus(Micros now) {
+  send_at_ = now + kSendInterval;
+  for (limits::CellMessage& message : ledger_->Messages()) {
+    message.leader_address = settings().peer_listen;
+    message.term = election()->term();
+    CellDelivery delivery;
+    delivery.addresses = AddressesOf(now, message.to);
+    delivery.message = std::move(message);
+    outbox()->effects.cell_deliveries.push_back(std::move(delivery));
+  }
+}
+
+// Conditional on the term and on the version that was read, so that no other leader's record is
+// overwritten. A repeated write after an unknown outcome is identical.
+void QuotaShares::WriteRecord(Micros now) {
+  if (writing_ || now < write_at_ || !election()->leads()) return;
+  const std::optional<limits::QuotaRecord> record = ledger_->RecordToWrite();
+  if (!record) return;
+  writing_ = true;
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kTerm, election()->term_version()},
+                          {keys::kEscrow, record_version_}};
+  commit.mutations.push_back({keys::kEscrow, false, *record, 0});
+  outbox()->SendState(commit,
+                      Guarded([this, number = record->number](Micros now, StateResponse& response) {
+                        OnWriteResponse(now, response, number);
+                      }));
+}
+
+void QuotaShares::OnRecordWritten(Micros now, uint64_t version, uint64_t number) {
+  record_version_ = version;
+  ledger_->OnWritten(number);
+  UpdateOccupancy();
+  send_at_ = now;  // the other cells wait for what is durable now
+}
+
+void QuotaShares::OnWriteResponse(Micros now, const StateResponse& response, uint64_t number) {
+  writing_ = false;
+  if (response.ok()) {
+    write_at_ = now + kWriteInterval;
+    return OnRecordWritten(now, response.revision, number);
+  }
+  const auto& failed = response.failed_keys;
+  if (response.outcome == StateResponse::Outcome::kConflict &&
+      std::find(failed.begin(), failed.end(), keys::kTerm) != failed.end()) {
+    return election()->StepDown(now, "the term has moved on");
+  }
+  write_at_ = now + kWriteRetryDelay;
+  if (response.outcome == StateResponse::Outcome::kRefused) return;  // retried as it is
+  ReloadRecord(number);
+}
+
+void QuotaShares::ReloadRecord(uint64_t number) {
+  writing_ = true;
+  StateRequest get;
+  get.key = keys::kEscrow;
+  outbox()->SendState(get, Guarded([this, number](Micros now, StateResponse& response) {
+                        OnReloadResponse(now, response, number);
+                      }));
+}
+
+void QuotaShares::OnReloadResponse(Micros now, const StateResponse& response, uint64_t number) {
+  writing_ = false;
+  write_at_ = now + kWriteRetryDelay;
+  if (!response.ok() || response.entries.empty()) return;  // the write is retried as it is
+  const Entry& entry = response.entries[0];
+  const auto* record = std::get_if<limits::QuotaRecord>(&entry.value);
+  if (record && record->number == number) {
+    OnRecordWritten(now, entry.version, number);
+  } else if (entry.version != record_version_) {
+    election()->StepDown(now, "the quota record was written by another leader");
+  }
+}
+
+std::string QuotaShares::Summary() const {
+  if (alone()) return "";
+  return ledger_->restricted_to_floor_reason().empty()
+             ? "; cells not heard " + std::to_string(ledger_->UnheardCells().size())
+             : "; quota restricted to the floor share";
+}
+
+}  // namespace badgershore
--- a/src/core/model/types.h
+++ b/src/core/model/types.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "core/model/time.h"
-#include "limits/rights.h"
+#include "limits/quota_types.h"
 
 namespace badgershore {
 
@@ -111,7 +111,7 @@
 };
 using Record =
     std::variant<std::monostate, TermRecord, LeaderRecord, JobSpec, JobEndRecord, ProgressPage,
-                 FleetPage, MachineType, TypeCountRecord, limits::EscrowRecord>;
+                 FleetPage, MachineType, TypeCountRecord, limits::QuotaRecord>;
 
 namespace keys {
 inline const std::string kControl = "ctl/";
--- /dev/null
+++ b/src/limits/quota_ledger.cpp
@@ -0,0 +1,178 @@
+#include "limits/quota_ledger.h"
+
+#include <algorithm>
+#include <tuple>
+
+namespace badgershore::limits {
+namespace {
+
+// a * b / c with an intermediate product of 128 bits.
+int64_t MultiplyDivide(int64_t a, int64_t b, int64_t c, bool round_up) {
+  const auto product = static_cast<__int128>(a) * b;
+  return static_cast<int64_t>((product + (round_up ? c - 1 : 0)) / c);
+}
+
+}  // namespace
+
+QuotaLedger::QuotaLedger(Settings settings) : shares_(std::move(settings)) {}
+
+void QuotaLedger::SetTotals(const TeamAmounts& totals) { own_totals_ = totals; }
+
+void QuotaLedger::SetDemand(const std::string& team, const QuotaDemand& demand) {
+  demands_[team] = demand;
+}
+
+void QuotaLedger::Load(const std::optional<QuotaRecord>& record, uint64_t nonce) {
+  loaded_ = true;
+  nonce_ = nonce;
+  records_.Load(record);
+  peers_.clear();
+  restricted_to_floor_reason_.clear();
+  for (const auto& [team, own] : own_totals_) {
+    NextHeld(team);
+    ResourceAmounts& agreed = records_.next().totals.try_emplace(team, own).first->second;
+    for (size_t i = 0; i < kResourceKinds; ++i) agreed[i] = std::min(agreed[i], own[i]);
+  }
+  CloseRemovedAccounts();
+}
+
+ResourceAmounts& QuotaLedger::NextHeld(const std::string& team) {
+  auto [it, added] = records_.next().held.try_emplace(team);
+  if (added) it->second.fill(shares_.OwnInitialShare());
+  return it->second;
+}
+
+std::set<std::string> QuotaLedger::UnheardCells() const {
+  std::set<std::string> unheard;
+  for (const Cell& cell : shares_.settings().cells) {
+    if (cell.name == shares_.settings().self || cell.removed()) continue;
+    auto it = peers_.find(cell.name);
+    if (it == peers_.end() || !it->second.heard) unheard.insert(cell.name);
+  }
+  return unheard;
+}
+
+void QuotaLedger::RestrictToFloor(const std::string& reason) {
+  if (restricted_to_floor_reason_.empty()) restricted_to_floor_reason_ = reason;
+}
+
+// The least of what this cell's settings, its record and the other cells say: while the settings
+// differ, the lower total counts.
+int64_t QuotaLedger::Total(const std::string& team, ResourceKind kind) const {
+  const auto k = static_cast<size_t>(kind);
+  int64_t total = AmountOf(own_totals_, team, k);
+  const auto limit_by = [&](const TeamAmounts& totals) {
+    auto it = totals.find(team);
+    if (it != totals.end()) total = std::min(total, it->second[k]);
+  };
+  limit_by(records_.durable().totals);
+  limit_by(records_.next().totals);
+  for (const auto& [name, peer] : peers_) {
+    if (shares_.IsActive(name)) limit_by(peer.message.totals);
+  }
+  return total;
+}
+
+int64_t QuotaLedger::ToUnits(const std::string& team, ResourceKind kind, int64_t amount) const {
+  const int64_t units = shares_.settings().units;
+  const int64_t total = Total(team, kind);
+  if (amount <= 0 || total >= kUnlimited) return 0;
+  if (total <= 0) return units;
+  return std::min(units, MultiplyDivide(std::min(amount, total), units, total, true));
+}
+
+int64_t QuotaLedger::UsedUnits(const std::string& team, ResourceKind kind) const {
+  auto it = demands_.find(team);
+  if (it == demands_.end()) return 0;
+  return ToUnits(team, kind, it->second.used[static_cast<size_t>(kind)]);
+}
+
+int64_t QuotaLedger::Usable(const std::string& team, ResourceKind kind) const {
+  if (!loaded_) return 0;
+  const int64_t total = Total(team, kind);
+  if (total >= kUnlimited) return kUnlimited;
+  // Durable before it is used; no longer used once it may be transferred.
+  int64_t units = records_.LeastHeld(team, kind);
+  const int64_t floor = shares_.Floor();
+  // A record that an older copy of the state service may have brought back does not prove what was
+  // not transferred since. The floor never is.
+  if (!restricted_to_floor_reason_.empty() || !AllHeard()) units = std::min(units, floor);
+  // What is owed to other cells is left to them as it becomes free.
+  int64_t owed = 0;
+  for (const auto& [cell, peer] : peers_) owed += OwedTo(cell, team, kind);
+  units = std::max(units - owed, std::min(units, floor));
+  return MultiplyDivide(std::max<int64_t>(0, units), std::max<int64_t>(0, total),
+                        shares_.settings().units, false);
+}
+
+// A raised total counts when all cells' settings say it, a lowered one at once.
+void QuotaLedger::AgreeOnTotals() {
+  for (const auto& [team, own] : own_totals_) {
+    ResourceAmounts least = own;
+    bool complete = AllHeard();
+    for (const auto& [cell, peer] : peers_) {
+      if (!shares_.IsActive(cell)) continue;
+      auto it = peer.message.totals.find(team);
+      if (it == peer.message.totals.end()) {
+        complete = false;  // its settings do not name the team yet
+        continue;
+      }
+      for (size_t i = 0; i < kResourceKinds; ++i) least[i] = std::min(least[i], it->second[i]);
+    }
+    ResourceAmounts& agreed = records_.next().totals.try_emplace(team, own).first->second;
+    for (size_t i = 0; i < kResourceKinds; ++i) {
+      if (least[i] < agreed[i] || complete) agreed[i] = least[i];
+    }
+  }
+}
+
+bool QuotaLedger::OnMessage(const CellMessage& message, int64_t now_ms) {
+  const std::string& self = shares_.settings().self;
+  if (!loaded_ || message.to != self || message.from == self || !shares_.IsActive(message.from)) {
+    return false;
+  }
+  now_ms_ = std::max(now_ms_, now_ms);
+  records_.AddAccount(message.from);
+  CheckTransferNumbers(message);
+  Peer& peer = peers_[message.from];
+  TransferAccount& account = records_.next().accounts.at(message.from);
+  if (message.nonce < account.nonce) return true;
+  account.nonce = message.nonce;
+  if (!restricted_to_floor_reason_.empty()) return true;
+  // The other cell's record is an old copy. It learns that from this cell's numbers, and its
+  // messages count again when it has the right one.
+  const TransferAccount& known = records_.durable().accounts.at(message.from);
+  if (message.sent < known.received || message.received + 1 < known.sent) return true;
+  // Overtaken by a newer message.
+  if (std::tie(message.term, message.sent, message.received) <
+      std::tie(peer.message.term, peer.message.sent, peer.message.received)) {
+    return true;
+  }
+  peer.message = message;
+  // Numbers from before this load could agree with an old copy of the record.
+  peer.heard = peer.heard || message.echoed_nonce == nonce_;
+  AcknowledgeTransfer(message);
+  ReceiveTransfer(message);
+  AbsorbRemovedCells();
+  return true;
+}
+
+void QuotaLedger::Tick(int64_t now_ms) {
+  if (!loaded_) return;
+  now_ms_ = std::max(now_ms_, now_ms);
+  for (const auto& [team, totals] : own_totals_) NextHeld(team);
+  ExtendReclaimDelays();
+  if (!restricted_to_floor_reason_.empty()) return;
+  AgreeOnTotals();
+  AbsorbRemovedCells();
+  // This cell's numbers have to be known to be right before anything is transferred.
+  if (!AllHeard()) return;
+  for (const std::string& cell : CellsByPriority()) StartTransfer(cell, now_ms_);
+}
+
+std::optional<QuotaRecord> QuotaLedger::RecordToWrite() {
+  if (!loaded_) return std::nullopt;
+  return records_.RecordToWrite();
+}
+
+}  // namespace badgershore::limits
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -22,14 +22,14 @@
 namespace limits {
 
 template <class Archive>
-void serialize(Archive& ar, Want& w) {
-  ar(w.units, w.since_ms, w.rank, w.whole);
+void serialize(Archive& ar, QuotaRequest& w) {
+  ar(w.units, w.waiting_since_ms, w.priority, w.all_or_nothing);
 }
 
 template <class Archive>
 void serialize(Archive& ar, CellMessage& n) {
-  ar(n.from, n.to, n.node, n.term, n.nonce, n.echo, n.sent, n.taken, n.under_way, n.held, n.whole,
-     n.wants, n.closed);
+  ar(n.from, n.to, n.leader_address, n.term, n.nonce, n.echoed_nonce, n.sent, n.received,
+     n.in_transit, n.held, n.totals, n.requests, n.closed);
 }
 
 }  // namespace limits
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -31,12 +31,12 @@
   return {static_cast<int64_t>(Number(v, name))};
 }
 
-// Units by team, as lists in the order of limits::Kind.
-void PutAmounts(Writer* w, const char* key, const limits::Amounts& amounts) {
+// Units by team, as lists in the order of limits::ResourceKind.
+void PutAmounts(Writer* w, const char* key, const limits::TeamAmounts& amounts) {
   w->Key(key).Begin();
-  for (const auto& [team, four] : amounts) {
+  for (const auto& [team, amounts] : amounts) {
     w->Key(team.c_str()).BeginList();
-    for (const int64_t n : four) w->Int(n);
+    for (const int64_t n : amounts) w->Int(n);
     w->EndList();
   }
   w->End();
@@ -66,17 +66,17 @@
     w->EndList();
   }
   void operator()(const TypeCountRecord& r) const { w->Put("count", r.count); }
-  void operator()(const limits::EscrowRecord& r) const {
+  void operator()(const limits::QuotaRecord& r) const {
     w->Put("number", r.number);
     PutAmounts(w, "held", r.held);
-    PutAmounts(w, "whole", r.whole);
+    PutAmounts(w, "whole", r.totals);
     w->Key("accounts").Begin();
     for (const auto& [cell, a] : r.accounts) {
-      w->Key(cell.c_str()).Begin().Put("sent", a.sent).Put("taken", a.taken);
+      w->Key(cell.c_str()).Begin().Put("sent", a.sent).Put("taken", a.received);
       w->Put("nonce", a.nonce);
       if (a.closed) w->Put("closed", true);
-      if (!a.under_way.empty()) PutAmounts(w, "under_way", a.under_way);
-      if (!a.net.empty()) PutAmounts(w, "net", a.net);
+      if (!a.in_transit.empty()) PutAmounts(w, "under_way", a.in_transit);
+      if (!a.net_sent.empty()) PutAmounts(w, "net", a.net_sent);
       w->End();
     }
     w->End();
@@ -109,36 +109,36 @@
   }
 };
 
-limits::Amounts ReadAmounts(const Value& v, const char* key) {
-  limits::Amounts out;
+limits::TeamAmounts ReadAmounts(const Value& v, const char* key) {
+  limits::TeamAmounts out;
   const Value* teams = Find(v, key);
   if (!teams || !teams->IsObject()) return out;
   for (const auto& team : teams->GetObject()) {
-    if (!team.value.IsArray() || team.value.Size() != limits::kKinds) continue;
-    limits::Four four{};
-    for (rapidjson::SizeType i = 0; i < limits::kKinds; ++i) {
+    if (!team.value.IsArray() || team.value.Size() != limits::kResourceKinds) continue;
+    limits::ResourceAmounts amounts{};
+    for (rapidjson::SizeType i = 0; i < limits::kResourceKinds; ++i) {
       const Value& n = team.value[i];
-      four[i] = n.IsInt64() ? n.GetInt64() : n.IsNumber() ? std::llround(n.GetDouble()) : 0;
+      amounts[i] = n.IsInt64() ? n.GetInt64() : n.IsNumber() ? std::llround(n.GetDouble()) : 0;
     }
-    out[std::string(team.name.GetString(), team.name.GetStringLength())] = four;
+    out[std::string(team.name.GetString(), team.name.GetStringLength())] = amounts;
   }
   return out;
 }
 
-limits::EscrowRecord ReadEscrow(const Value& v) {
-  limits::EscrowRecord r;
+limits::QuotaRecord ReadEscrow(const Value& v) {
+  limits::QuotaRecord r;
   r.number = Count(v, "number");
   r.held = ReadAmounts(v, "held");
-  r.whole = ReadAmounts(v, "whole");
+  r.totals = ReadAmounts(v, "whole");
   if (const Value* accounts = Find(v, "accounts"); accounts && accounts->IsObject()) {
     for (const auto& a : accounts->GetObject()) {
-      limits::Account& account = r.accounts[a.name.GetString()];
+      limits::TransferAccount& account = r.accounts[a.name.GetString()];
       account.sent = Count(a.value, "sent");
-      account.taken = Count(a.value, "taken");
+      account.received = Count(a.value, "taken");
       account.nonce = Count(a.value, "nonce");
       account.closed = Flag(a.value, "closed");
-      account.under_way = ReadAmounts(a.value, "under_way");
-      account.net = ReadAmounts(a.value, "net");
+      account.in_transit = ReadAmounts(a.value, "under_way");
+      account.net_sent = ReadAmounts(a.value, "net");
     }
   }
   if (const Value* cells = Find(v, "inherited")) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -5,7 +5,7 @@
 
 #include "check/explore.h"
 #include "check/limits_model.h"
-#include "limits/escrow.h"
+#include "limits/quota_ledger.h"
 
 namespace badgershore {
 namespace {
@@ -13,10 +13,10 @@
 using check::LimitsModel;
 using check::LimitsPlan;
 using check::Planted;
-using limits::Escrow;
-using limits::EscrowRecord;
 using limits::kLimitCpu;
 using limits::kUnlimited;
+using limits::QuotaLedger;
+using limits::QuotaRecord;
 
 constexpr int64_t kWhole = 900000;  // thousandths of a CPU
 
@@ -25,43 +25,43 @@
   explicit Cells(std::vector<limits::Cell> named) {
     settings.cells = std::move(named);
     for (const limits::Cell& c : settings.cells) {
-      if (c.heir.empty()) Start(c.name, std::nullopt);
+      if (c.successor.empty()) Start(c.name, std::nullopt);
     }
   }
-  void Start(const std::string& name, const std::optional<EscrowRecord>& record,
+  void Start(const std::string& name, const std::optional<QuotaRecord>& record,
              int64_t whole = kWhole) {
     settings.self = name;
-    Escrow escrow(settings);
-    escrow.SetWhole({{"t", {whole, kUnlimited, kUnlimited, kUnlimited}}});
-    escrow.Load(record, ++nonce);
-    at.insert_or_assign(name, std::move(escrow));
+    QuotaLedger ledger(settings);
+    ledger.SetTotals({{"t", {whole, kUnlimited, kUnlimited, kUnlimited}}});
+    ledger.Load(record, ++nonce);
+    at.insert_or_assign(name, std::move(ledger));
   }
   void Need(const std::string& name, int64_t used, int64_t more, bool gang = false, int rank = 2,
             int64_t since = 1) {
-    limits::Need need;
-    need.used[kLimitCpu] = used;
-    need.more[kLimitCpu] = more;
-    need.whole = gang;
-    need.rank = rank;
-    need.since_ms = since;
-    at.at(name).SetNeed("t", need);
+    limits::QuotaDemand demand;
+    demand.used[kLimitCpu] = used;
+    demand.additional[kLimitCpu] = more;
+    demand.all_or_nothing = gang;
+    demand.priority = rank;
+    demand.waiting_since_ms = since;
+    at.at(name).SetDemand("t", demand);
   }
   void Write(const std::string& name) {
-    if (auto record = at.at(name).ToWrite()) {
-      at.at(name).Written(record->number);
+    if (auto record = at.at(name).RecordToWrite()) {
+      at.at(name).OnWritten(record->number);
       stored[name] = *record;
     }
   }
   void Run(int rounds) {
     for (int i = 0; i < rounds; ++i) {
       now += 500;
-      for (auto& [name, escrow] : at) {
+      for (auto& [name, ledger] : at) {
         if (cut.contains(name)) continue;
-        escrow.Tick(now);
+        ledger.Tick(now);
         Write(name);
-        for (const limits::CellMessage& note : escrow.Notes()) {
+        for (const limits::CellMessage& note : ledger.Messages()) {
           if (cut.contains(note.to) || !at.contains(note.to)) continue;
-          at.at(note.to).OnNote(note, now);
+          at.at(note.to).OnMessage(note, now);
           Write(note.to);
         }
       }
@@ -70,13 +70,13 @@
   int64_t Usable(const std::string& name) const { return at.at(name).Usable("t", kLimitCpu); }
   int64_t Sum() const {
     int64_t sum = 0;
-    for (const auto& [name, escrow] : at) sum += escrow.Usable("t", kLimitCpu);
+    for (const auto& [name, ledger] : at) sum += ledger.Usable("t", kLimitCpu);
     return sum;
   }
 
   limits::Settings settings;
-  std::map<std::string, Escrow> at;
-  std::map<std::string, EscrowRecord> stored;
+  std::map<std::string, QuotaLedger> at;
+  std::map<std::string, QuotaRecord> stored;
   std::set<std::string> cut;
   uint64_t nonce = 0;
   int64_t now = 1000;
@@ -122,7 +122,7 @@
   EXPECT_GT(cells.Usable("c"), kWhole / 4);
 }
 
-// Two gangs that each need more than half would wait for each other with half each.
+// Two gangs that each demand more than half would wait for each other with half each.
 TEST(Limits, GangsLargerThanAnyShareGatherOneAfterTheOther) {
   Cells cells(kThree);
   cells.Run(3);
@@ -155,13 +155,13 @@
 TEST(Limits, AnOldCopyOfTheRecordIsNoticed) {
   Cells cells(kThree);
   cells.Run(3);
-  const EscrowRecord old = cells.stored["b"];
+  const QuotaRecord old = cells.stored["b"];
   cells.Need("a", 0, kWhole);
   cells.Run(10);
   cells.Start("b", old);
   cells.Need("b", 0, kWhole);
   cells.Run(10);
-  EXPECT_NE(cells.at.at("b").standing_by(), "");
+  EXPECT_NE(cells.at.at("b").restricted_to_floor_reason(), "");
   EXPECT_EQ(cells.Usable("b"), kWhole / 60);
   EXPECT_LE(cells.Sum(), kWhole);
 }
@@ -174,7 +174,7 @@
   EXPECT_GE(cells.Usable("c"), kWhole * 9 / 10);
   auto stored = cells.stored;
   cells.at.erase("c");
-  cells.settings.cells[2].heir = "a";
+  cells.settings.cells[2].successor = "a";
   cells.Start("a", stored["a"]);
   cells.Start("b", stored["b"]);
   cells.Run(5);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -175,8 +175,8 @@
   note.from = "north";
   note.to = "south";
   note.nonce = 7;
-  note.under_way["t"] = {1, 2, 3, 4};
-  note.wants["t"] = {{5, 0, 0, 0}, 99, 1, true};
+  note.in_transit["t"] = {1, 2, 3, 4};
+  note.requests["t"] = {{5, 0, 0, 0}, 99, 1, true};
   note.closed["gone"]["t"] = {-9, 0, 0, 0};
   const std::string frame = peer::Encode(note);
   const auto head = peer::ReadHead(frame);
@@ -205,10 +205,10 @@
 }
 
 TEST(Records, ACellsRightsComeBack) {
-  limits::EscrowRecord r;
+  limits::QuotaRecord r;
   r.number = 12;
   r.held["t"] = {1, limits::kUnlimited, 3, 4};
-  r.whole["t"] = {5, limits::kUnlimited, 7, 8};
+  r.totals["t"] = {5, limits::kUnlimited, 7, 8};
   r.accounts["south"] = {3, {{"t", {1, 0, 0, 0}}}, 2, {{"t", {-4, 0, 0, 0}}}, true, 99};
   r.inherited["gone"] = true;
   Writer w;
@@ -216,8 +216,8 @@
   rapidjson::Document doc;
   ASSERT_TRUE(ParseObject(w.Done(), &doc));
   const Record back = ReadRecord(keys::kEscrow, doc);
-  ASSERT_TRUE(std::holds_alternative<limits::EscrowRecord>(back));
-  EXPECT_EQ(std::get<limits::EscrowRecord>(back), r);
+  ASSERT_TRUE(std::holds_alternative<limits::QuotaRecord>(back));
+  EXPECT_EQ(std::get<limits::QuotaRecord>(back), r);
 }
 
 TEST(Peers, NotesComeBackAndNoiseDoesNot) {
