--- a/src/core/controller/peer_view.cpp
+++ b/src/core/controller/peer_view.cpp
@@ -48,9 +48,9 @@
 void PeerView::LogSuspicions(Micros now) {
   for (const auto& member : settings_->members) {
     const std::string& name = member.name;
-    const bool confirmed = members_->Firm(now, name);
+    const bool confirmed = members_->IsSuspicionConfirmed(now, name);
     if (confirmed && logged_suspects_.insert(name).second) {
-      const auto& by = members_->Find(name)->by;
+      const auto& by = members_->Find(name)->suspected_by;
       outbox_->Info("peer " + name + " suspected: suspected by " + std::to_string(by.size()) +
                     " members");
     } else if (!confirmed && members_->Find(name)->state == membership::State::kAlive &&
@@ -83,13 +83,14 @@
 }
 
 int PeerView::ElectionPosition(Micros now) const {
-  const CandidateRank own{members_->CutOff(now), !connectivity_->StateServiceReachable(now),
+  const CandidateRank own{members_->IsIsolated(now), !connectivity_->StateServiceReachable(now),
                           !connectivity_->ReceivesHeartbeats(now), settings_->member};
   int before = 0;
   for (const auto& member : settings_->members) {
     const membership::Members::View* view = members_->Find(member.name);
     const bool suspected = view->state != membership::State::kAlive || view->heard_at.count < 0;
-    before += CandidateRank{suspected, !view->state_ok, !view->hears_workers, member.name} < own;
+    before += CandidateRank{suspected, !view->state_service_reachable, !view->receives_heartbeats,
+                            member.name} < own;
   }
   return before;
 }
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -6,19 +6,22 @@
 namespace badgershore::membership {
 namespace {
 
-constexpr int kMostLateness = 7;
-constexpr int kCutOffPeriods = 4;
-// A suspicion is firm after so many periods: at most where one alone suspects, at least where all
-// do that could confirm it.
-constexpr double kLongest = 6, kShortest = 2;
+constexpr int kMaxMissedProbes = 7;
+constexpr int kIsolatedIntervals = 4;
+constexpr int kPausedIntervals = 2;  // between two ticks: this process has stood still
+// Intervals until a suspicion is confirmed: from the most, where one member alone suspects, to the
+// least, where all do that could confirm it.
+constexpr double kMaxConfirmIntervals = 6;
+constexpr double kMinConfirmIntervals = 2;
+constexpr int kGossipFactor = 3;  // times log2 of the members: how often an update is sent
 
 }  // namespace
 
 Members::Members(Settings settings, uint64_t incarnation, uint64_t seed)
     : settings_(std::move(settings)), incarnation_(incarnation), random_(seed) {
-  for (const std::string& m : settings_.others) views_[m];
-  ring_ = settings_.others;
-  std::shuffle(ring_.begin(), ring_.end(), random_);
+  for (const std::string& member : settings_.others) views_[member];
+  probe_order_ = settings_.others;
+  std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
 }
 
 const Members::View* Members::Find(const std::string& member) const {
@@ -26,211 +29,246 @@
   return it == views_.end() ? nullptr : &it->second;
 }
 
-void Members::SetReach(bool state_ok, bool hears_workers) {
-  state_ok_ = state_ok;
-  hears_workers_ = hears_workers;
+void Members::SetReach(bool state_service_reachable, bool receives_heartbeats) {
+  state_service_reachable_ = state_service_reachable;
+  receives_heartbeats_ = receives_heartbeats;
 }
 
-bool Members::CutOff(Micros now) const {
-  return ticked_.count >= 0 && !ring_.empty() &&
-         now - answered_ > settings_.period.Scaled(kCutOffPeriods * doubt());
+bool Members::IsIsolated(Micros now) const {
+  return ticked_at_.count >= 0 && !probe_order_.empty() &&
+         now - answered_at_ >
+             settings_.probe_interval.Scaled(kIsolatedIntervals * health_multiplier());
 }
 
-bool Members::Firm(Micros now, const std::string& member) const {
-  const View* v = Find(member);
-  if (!v || v->state != State::kSuspect) return false;
-  const double could = static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
-  const double share =
-      std::min(1.0, std::log(static_cast<double>(v->by.size())) / std::log(could + 1));
-  const double periods = kLongest - (kLongest - kShortest) * std::max(0.0, share);
-  return now - v->since >= Scaled(settings_.period).Scaled(periods);
+bool Members::IsSuspicionConfirmed(Micros now, const std::string& member) const {
+  const View* view = Find(member);
+  if (!view || view->state != State::kSuspect) return false;
+  const double possible = static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
+  const double suspecting = static_cast<double>(view->suspected_by.size());
+  const double share = std::min(1.0, std::log(suspecting) / std::log(possible + 1));
+  const double intervals =
+      kMaxConfirmIntervals - (kMaxConfirmIntervals - kMinConfirmIntervals) * std::max(0.0, share);
+  return now - view->state_since >= ScaledByHealth(settings_.probe_interval).Scaled(intervals);
 }
 
-void Members::Spread(const Update& u) {
-  news_.erase(std::remove_if(news_.begin(), news_.end(),
-                             [&](const News& n) {
-                               return n.update.member == u.member &&
-                                      (n.update.incarnation < u.incarnation ||
-                                       n.update.state != u.state || n.update.by == u.by);
-                             }),
-              news_.end());
-  news_.push_back({u, 0});
+// Replaces queued updates that the new one makes obsolete.
+void Members::QueueGossip(const Update& update) {
+  gossip_.erase(std::remove_if(gossip_.begin(), gossip_.end(),
+                               [&](const QueuedUpdate& queued) {
+                                 const Update& old = queued.update;
+                                 return old.member == update.member &&
+                                        (old.incarnation < update.incarnation ||
+                                         old.state != update.state ||
+                                         old.suspected_by == update.suspected_by);
+                               }),
+                gossip_.end());
+  gossip_.push_back({update, 0});
 }
 
-void Members::Send(Message::Kind kind, const std::string& to, uint64_t number,
-                   const std::string& target) {
-  Message m;
-  m.kind = kind;
-  m.from = settings_.self;
-  m.to = to;
-  m.incarnation = incarnation_;
-  m.number = number;
-  m.target = target;
-  m.state_ok = state_ok_;
-  m.hears_workers = hears_workers_;
-  // A member that is suspected hears of it first, so that it can refute.
-  auto view = views_.find(to);
+void Members::AddGossip(Message* message) {
+  // A suspected member is told first, so that it can refute.
+  auto view = views_.find(message->to);
   if (view != views_.end() && view->second.state == State::kSuspect) {
-    for (const std::string& by : view->second.by) {
-      m.news.push_back({to, State::kSuspect, view->second.incarnation, by});
+    for (const std::string& by : view->second.suspected_by) {
+      message->gossip.push_back({message->to, State::kSuspect, view->second.incarnation, by});
     }
   }
-  const int most = 3 * static_cast<int>(std::ceil(std::log2(settings_.others.size() + 2)));
-  std::stable_sort(news_.begin(), news_.end(),
-                   [](const News& a, const News& b) { return a.told < b.told; });
-  for (News& n : news_) {
-    if (static_cast<int>(m.news.size()) >= settings_.news_each) break;
-    m.news.push_back(n.update);
-    ++n.told;
-  }
-  news_.erase(
-      std::remove_if(news_.begin(), news_.end(), [most](const News& n) { return n.told >= most; }),
-      news_.end());
-  out_.push_back(std::move(m));
-}
-
-void Members::Learn(Micros now, const Update& u) {
-  if (u.member == settings_.self) {
-    // Said of this process or of one that is not known here: refuted, unless it leaves.
-    if (u.state != State::kAlive && u.incarnation >= incarnation_ && !left_) {
-      incarnation_ = u.incarnation + 1;
-      Spread({settings_.self, State::kAlive, incarnation_, ""});
-    }
-    return;
+  std::stable_sort(
+      gossip_.begin(), gossip_.end(),
+      [](const QueuedUpdate& a, const QueuedUpdate& b) { return a.times_sent < b.times_sent; });
+  for (QueuedUpdate& queued : gossip_) {
+    if (static_cast<int>(message->gossip.size()) >= settings_.max_updates_per_message) break;
+    message->gossip.push_back(queued.update);
+    ++queued.times_sent;
   }
-  auto it = views_.find(u.member);
-  if (it == views_.end() || u.incarnation < it->second.incarnation) return;
-  View& v = it->second;
-  if (u.incarnation > v.incarnation) {
-    v.incarnation = u.incarnation;
-    if (v.state != State::kAlive) v.since = now;
-    v.state = State::kAlive;
-    v.by.clear();
-  } else if (v.state == State::kLeft || u.state == State::kAlive) {
+  const int max_times =
+      kGossipFactor * static_cast<int>(std::ceil(std::log2(settings_.others.size() + 2)));
+  gossip_.erase(std::remove_if(gossip_.begin(), gossip_.end(),
+                               [max_times](const QueuedUpdate& queued) {
+                                 return queued.times_sent >= max_times;
+                               }),
+                gossip_.end());
+}
+
+void Members::Send(Message::Kind kind, const std::string& to, uint64_t number,
+                   const std::string& target) {
+  Message message;
+  message.kind = kind;
+  message.from = settings_.self;
+  message.to = to;
+  message.incarnation = incarnation_;
+  message.number = number;
+  message.target = target;
+  message.state_service_reachable = state_service_reachable_;
+  message.receives_heartbeats = receives_heartbeats_;
+  AddGossip(&message);
+  outgoing_.push_back(std::move(message));
+}
+
+// An update of this process, or of an earlier incarnation of it.
+void Members::Refute(const Update& update) {
+  if (update.state == State::kAlive || update.incarnation < incarnation_ || left_) return;
+  incarnation_ = update.incarnation + 1;
+  QueueGossip({settings_.self, State::kAlive, incarnation_, ""});
+}
+
+void Members::Apply(Micros now, const Update& update) {
+  if (update.member == settings_.self) return Refute(update);
+  auto it = views_.find(update.member);
+  if (it == views_.end() || update.incarnation < it->second.incarnation) return;
+  View& view = it->second;
+  if (update.incarnation > view.incarnation) {
+    view.incarnation = update.incarnation;
+    if (view.state != State::kAlive) view.state_since = now;
+    view.state = State::kAlive;
+    view.suspected_by.clear();
+  } else if (view.state == State::kLeft || update.state == State::kAlive) {
     return;  // nothing new of this incarnation
   }
-  if (u.state == State::kLeft) {
-    v.state = State::kLeft;
-    v.since = now;
-    v.by.clear();
-  } else if (u.state == State::kSuspect) {
-    if (!v.by.insert(u.by).second) return;
-    if (v.state != State::kSuspect) {
-      v.state = State::kSuspect;
-      v.since = now;
+  if (update.state == State::kLeft) {
+    view.state = State::kLeft;
+    view.state_since = now;
+    view.suspected_by.clear();
+  } else if (update.state == State::kSuspect) {
+    if (!view.suspected_by.insert(update.suspected_by).second) return;
+    if (view.state != State::kSuspect) {
+      view.state = State::kSuspect;
+      view.state_since = now;
     }
   }
-  Spread(u);
+  QueueGossip(update);
 }
 
-void Members::Leave(Micros now) {
-  (void)now;
+void Members::Leave(Micros) {
   left_ = true;
-  Spread({settings_.self, State::kLeft, incarnation_, ""});
-  for (const std::string& m : settings_.others) Send(Message::Kind::kPing, m, ++number_, "");
-}
-
-void Members::OnMessage(Micros now, const Message& m) {
-  auto it = views_.find(m.from);
-  if (it == views_.end() || m.to != settings_.self) return;
-  View& v = it->second;
-  if (m.incarnation < v.incarnation)
-    return;  // of a process that is gone, or from before it refuted
-  if (m.incarnation > v.incarnation) Learn(now, {m.from, State::kAlive, m.incarnation, ""});
-  v.heard_at = now;
-  v.state_ok = m.state_ok;
-  v.hears_workers = m.hears_workers;
-  for (const Update& u : m.news) Learn(now, u);
-  switch (m.kind) {
+  QueueGossip({settings_.self, State::kLeft, incarnation_, ""});
+  for (const std::string& member : settings_.others) {
+    Send(Message::Kind::kPing, member, ++last_number_, "");
+  }
+}
+
+void Members::OnMessage(Micros now, const Message& message) {
+  auto it = views_.find(message.from);
+  if (it == views_.end() || message.to != settings_.self) return;
+  View& view = it->second;
+  // Of an ended process, or from before a refutation.
+  if (message.incarnation < view.incarnation) return;
+  if (message.incarnation > view.incarnation) {
+    Apply(now, {message.from, State::kAlive, message.incarnation, ""});
+  }
+  view.heard_at = now;
+  view.state_service_reachable = message.state_service_reachable;
+  view.receives_heartbeats = message.receives_heartbeats;
+  for (const Update& update : message.gossip) Apply(now, update);
+  switch (message.kind) {
     case Message::Kind::kPing:
-      Send(Message::Kind::kAck, m.from, m.number, "");
-      return;
-    case Message::Kind::kAsk:
-      relays_[++number_] = {m.from, m.target, m.number, now + Scaled(settings_.patience)};
-      Send(Message::Kind::kPing, m.target, number_, "");
-      return;
-    case Message::Kind::kAck: {
-      answered_ = now;
-      auto relay = relays_.find(m.number);
-      if (relay != relays_.end()) {
-        Send(Message::Kind::kAck, relay->second.asker, relay->second.number, m.from);
-        relays_.erase(relay);
-      } else if (!probe_.done && m.number == probe_.number) {
-        probe_.done = true;
-        lateness_ = std::max(0, lateness_ - 1);
-      }
-      return;
-    }
+      return Send(Message::Kind::kAck, message.from, message.number, "");
+    case Message::Kind::kPingRequest:
+      indirect_probes_[++last_number_] = {message.from, message.target, message.number,
+                                          now + ScaledByHealth(settings_.probe_timeout)};
+      return Send(Message::Kind::kPing, message.target, last_number_, "");
+    case Message::Kind::kAck:
+      answered_at_ = now;
+      return OnAck(message);
     case Message::Kind::kNack:
-      answered_ = now;
-      if (!probe_.done && m.number == probe_.number) ++probe_.answers;
+      answered_at_ = now;
+      if (!probe_.done && message.number == probe_.number) ++probe_.nacks;
       return;
   }
 }
 
-void Members::Begin(Micros now) {
-  for (size_t n = 0; n < ring_.size(); ++n) {
-    if (at_ >= ring_.size()) {
-      at_ = 0;
-      std::shuffle(ring_.begin(), ring_.end(), random_);
+void Members::OnAck(const Message& message) {
+  auto indirect = indirect_probes_.find(message.number);
+  if (indirect != indirect_probes_.end()) {
+    Send(Message::Kind::kAck, indirect->second.requester, indirect->second.number, message.from);
+    indirect_probes_.erase(indirect);
+  } else if (!probe_.done && message.number == probe_.number) {
+    probe_.done = true;
+    missed_probes_ = std::max(0, missed_probes_ - 1);
+  }
+}
+
+void Members::StartProbe(Micros now) {
+  for (size_t n = 0; n < probe_order_.size(); ++n) {
+    if (probe_index_ >= probe_order_.size()) {
+      probe_index_ = 0;
+      std::shuffle(probe_order_.begin(), probe_order_.end(), random_);
     }
-    const std::string& target = ring_[at_++];
+    const std::string& target = probe_order_[probe_index_++];
     if (views_.at(target).state == State::kLeft) continue;
-    probe_ = {++number_, target, now, false, 0, false};
+    probe_ = {++last_number_, target, now, false, 0, false};
     Send(Message::Kind::kPing, target, probe_.number, "");
     return;
   }
 }
 
-// The period is over. Where others, too, could not reach it, it is suspected; where not even those
-// answered, this member doubts itself.
-void Members::Judge(Micros now) {
+// The interval is over without an answer. The target is suspected if others could not reach it
+// either; where not even those answered, the fault may be this member's.
+void Members::FinishProbe(Micros now) {
   if (probe_.done) return;
   probe_.done = true;
-  lateness_ = std::min(kMostLateness, lateness_ + 1);
-  if (settings_.others.size() > 1 && probe_.answers == 0) return;
-  const View& v = views_.at(probe_.target);
-  if (v.state == State::kLeft) return;
-  Learn(now, {probe_.target, State::kSuspect, v.incarnation, settings_.self});
+  missed_probes_ = std::min(kMaxMissedProbes, missed_probes_ + 1);
+  if (settings_.others.size() > 1 && probe_.nacks == 0) return;
+  const View& view = views_.at(probe_.target);
+  if (view.state == State::kLeft) return;
+  Apply(now, {probe_.target, State::kSuspect, view.incarnation, settings_.self});
 }
 
-void Members::Tick(Micros now) {
-  if (ticked_.count < 0) answered_ = now;
-  // Stood still: what was not answered meanwhile proves nothing of others.
-  if (ticked_.count >= 0 && now - ticked_ > settings_.period.Scaled(2)) {
-    probe_.done = true;
-    relays_.clear();
-    lateness_ = std::min(kMostLateness, lateness_ + 2);
-    answered_ = now;
-    next_ = now;
+void Members::SendIndirectProbes(Micros now) {
+  if (probe_.done || probe_.indirect_sent ||
+      now - probe_.sent_at < ScaledByHealth(settings_.probe_timeout)) {
+    return;
   }
-  ticked_ = now;
-  if (left_) return;
-  for (auto it = relays_.begin(); it != relays_.end();) {
-    if (now < it->second.until) {
+  probe_.indirect_sent = true;
+  std::vector<std::string> helpers;
+  for (const std::string& member : settings_.others) {
+    if (member != probe_.target && views_.at(member).state == State::kAlive) {
+      helpers.push_back(member);
+    }
+  }
+  std::shuffle(helpers.begin(), helpers.end(), random_);
+  helpers.resize(std::min(helpers.size(), static_cast<size_t>(settings_.indirect_probes)));
+  for (const std::string& member : helpers) {
+    Send(Message::Kind::kPingRequest, member, probe_.number, probe_.target);
+  }
+}
+
+void Members::ExpireIndirectProbes(Micros now) {
+  for (auto it = indirect_probes_.begin(); it != indirect_probes_.end();) {
+    const IndirectProbe& probe = it->second;
+    if (now < probe.deadline) {
       ++it;
       continue;
     }
-    Send(Message::Kind::kNack, it->second.asker, it->second.number, it->second.target);
-    it = relays_.erase(it);
+    Send(Message::Kind::kNack, probe.requester, probe.number, probe.target);
+    it = indirect_probes_.erase(it);
   }
-  if (!probe_.done && !probe_.asked && now - probe_.sent >= Scaled(settings_.patience)) {
-    probe_.asked = true;
-    std::vector<std::string> others;
-    for (const std::string& m : settings_.others) {
-      if (m != probe_.target && views_.at(m).state == State::kAlive) others.push_back(m);
-    }
-    std::shuffle(others.begin(), others.end(), random_);
-    others.resize(std::min(others.size(), static_cast<size_t>(settings_.helpers)));
-    for (const std::string& m : others) {
-      Send(Message::Kind::kAsk, m, probe_.number, probe_.target);
-    }
+}
+
+// What was not answered while this process stood still proves nothing of the others.
+void Members::RecoverFromPause(Micros now) {
+  probe_.done = true;
+  indirect_probes_.clear();
+  missed_probes_ = std::min(kMaxMissedProbes, missed_probes_ + 2);
+  answered_at_ = now;
+  next_probe_at_ = now;
+}
+
+void Members::Tick(Micros now) {
+  const bool first = ticked_at_.count < 0;
+  if (first) answered_at_ = now;
+  if (!first && now - ticked_at_ > settings_.probe_interval.Scaled(kPausedIntervals)) {
+    RecoverFromPause(now);
   }
-  if (now < next_) return;
-  Judge(now);
-  // A late member probes less often: it has less to say.
-  next_ = now + Scaled(settings_.period);
-  Begin(now);
+  ticked_at_ = now;
+  if (left_) return;
+  ExpireIndirectProbes(now);
+  SendIndirectProbes(now);
+  if (now < next_probe_at_) return;
+  FinishProbe(now);
+  // With poor local health probes are rarer: their outcome says less.
+  next_probe_at_ = now + ScaledByHealth(settings_.probe_interval);
+  StartProbe(now);
 }
 
 }  // namespace badgershore::membership
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -1,9 +1,7 @@
-// Who of the controllers seems to be there: suspicion, never a verdict. Each watches the others by
-// probes, direct and through others, in turn; what it learns travels on those messages (SWIM, Das
-// et al. 2002). One that answers late itself doubts itself first (Lifeguard, Dadgar et al. 2018).
+// Failure detection among a cell's controllers by direct and indirect probes, with gossip on the
+// probes' messages (SWIM, Das et al. 2002) and local health (Lifeguard, Dadgar et al. 2018).
 //
-// Pure: no clock, no socket, no chance but from the seed. Whoever is suspected here has lost
-// nothing: leadership ends with its lease alone.
+// A suspicion takes nothing from the suspected member: leadership ends with its lease alone.
 #pragma once
 
 #include <cstdint>
@@ -21,104 +19,121 @@
 
 enum class State : uint8_t { kAlive, kSuspect, kLeft };
 
-// News of a member. An incarnation grows when a member starts anew or refutes a suspicion; what is
-// said of an earlier one counts for nothing.
+// One member's state as gossiped. The incarnation grows when a member restarts or refutes a
+// suspicion; updates of earlier incarnations are ignored.
 struct Update {
   std::string member;
   State state = State::kAlive;
   uint64_t incarnation = 0;
-  std::string by;  // who suspects
+  std::string suspected_by;
 };
 
 struct Message {
-  enum class Kind : uint8_t { kPing, kAck, kAsk, kNack };
+  // kPingRequest asks the receiver to probe `target`; kNack answers that the target did not.
+  enum class Kind : uint8_t { kPing, kAck, kPingRequest, kNack };
   Kind kind = Kind::kPing;
   std::string from, to;
-  uint64_t incarnation = 0;                      // of `from`
-  uint64_t number = 0;                           // of the probe
-  std::string target;                            // kAsk, and answers to it: who is to be probed
-  bool state_ok = false, hears_workers = false;  // what `from` reaches
-  std::vector<Update> news;
+  uint64_t incarnation = 0;              // of `from`
+  uint64_t number = 0;                   // of the probe
+  std::string target;                    // of a ping request and of its answers
+  bool state_service_reachable = false;  // from `from`
+  bool receives_heartbeats = false;      // `from`, of late
+  std::vector<Update> gossip;
 };
 
 struct Settings {
   std::string self;
   std::vector<std::string> others;
-  Micros period = Millis(500);    // one member is probed in each
-  Micros patience = Millis(200);  // for a direct answer; then others are asked to probe it
-  int helpers = 2;
-  int news_each = 6;  // updates on one message
+  Micros probe_interval = Millis(500);  // one member is probed in each
+  Micros probe_timeout = Millis(200);   // of a direct probe; then indirect ones are sent
+  int indirect_probes = 2;
+  int max_updates_per_message = 6;
 };
 
+// One member's view of the others: a state machine without clock or socket, deterministic by its
+// seed. Its owner sends the messages of Take after each call.
 class Members {
  public:
-  // `incarnation`: larger than that of any earlier process of this member; the time of day is.
+  // `incarnation`: larger than that of any earlier process of this member; a time of day is.
   Members(Settings settings, uint64_t incarnation, uint64_t seed);
 
   void Tick(Micros now);
-  void OnMessage(Micros now, const Message& m);
-  std::vector<Message> Take() { return std::exchange(out_, {}); }
-  // What this member itself reaches; told with every message.
-  void SetReach(bool state_ok, bool hears_workers);
-  // It ends in an orderly way.
+  void OnMessage(Micros now, const Message& message);
+  std::vector<Message> Take() { return std::exchange(outgoing_, {}); }
+  // What this member itself reaches; sent with every message.
+  void SetReach(bool state_service_reachable, bool receives_heartbeats);
+  // Tells the others that this member ends in an orderly way.
   void Leave(Micros now);
 
   struct View {
     State state = State::kAlive;
     uint64_t incarnation = 0;
-    std::set<std::string> by;  // who suspects it
-    Micros since;              // in this state
-    Micros heard_at{-1};       // a message of its own, directly
-    bool state_ok = false, hears_workers = false;
+    std::set<std::string> suspected_by;
+    Micros state_since;
+    Micros heard_at{-1};  // a message of its own; negative: never
+    bool state_service_reachable = false;
+    bool receives_heartbeats = false;
   };
+  // Null: not a member.
   const View* Find(const std::string& member) const;
-  // Suspected for so long, by so many, that preparing for its end is worth the while.
-  bool Firm(Micros now, const std::string& member) const;
-  // 1 where this member answers in time, more where it was late itself of late.
-  int doubt() const { return 1 + lateness_; }
-  // Nobody has answered for several periods: it is this member that is cut off.
-  bool CutOff(Micros now) const;
+  // Suspected for so long, and by so many, that preparing for its end pays.
+  bool IsSuspicionConfirmed(Micros now, const std::string& member) const;
+  // Local health: 1 while this member's probes are answered in time, up to 8 while they are not,
+  // which may be its own fault. Multiplies all its timeouts.
+  int health_multiplier() const { return 1 + missed_probes_; }
+  // No member has answered for several intervals: this member is the one that is cut off.
+  bool IsIsolated(Micros now) const;
   uint64_t incarnation() const { return incarnation_; }
 
  private:
   struct Probe {
     uint64_t number = 0;
     std::string target;
-    Micros sent;
-    bool asked = false;  // others were asked
-    int answers = 0;     // of those
+    Micros sent_at;
+    bool indirect_sent = false;
+    int nacks = 0;  // answers to the indirect probes
     bool done = true;
   };
-  struct Relay {  // a probe for another
-    std::string asker, target;
-    uint64_t number = 0;
-    Micros until;
+  struct IndirectProbe {  // on behalf of another member
+    std::string requester, target;
+    uint64_t number = 0;  // of the requester's probe
+    Micros deadline;
   };
-  struct News {
+  struct QueuedUpdate {
     Update update;
-    int told = 0;
+    int times_sent = 0;
   };
-  void Begin(Micros now);
-  void Judge(Micros now);
-  void Learn(Micros now, const Update& u);
-  void Spread(const Update& u);
+  void StartProbe(Micros now);
+  void SendIndirectProbes(Micros now);
+  void ExpireIndirectProbes(Micros now);
+  void FinishProbe(Micros now);
+  void OnAck(const Message& message);
+  void RecoverFromPause(Micros now);
+  void Apply(Micros now, const Update& update);
+  void Refute(const Update& update);
+  void QueueGossip(const Update& update);
+  void AddGossip(Message* message);
   void Send(Message::Kind kind, const std::string& to, uint64_t number, const std::string& target);
-  Micros Scaled(Micros m) const { return m.Scaled(doubt()); }
+  Micros ScaledByHealth(Micros span) const { return span.Scaled(health_multiplier()); }
 
   Settings settings_;
   uint64_t incarnation_;
   std::mt19937_64 random_;
-  bool state_ok_ = false, hears_workers_ = false, left_ = false;
+  bool state_service_reachable_ = false;
+  bool receives_heartbeats_ = false;
+  bool left_ = false;
   std::map<std::string, View> views_;
-  std::vector<std::string> ring_;
-  size_t at_ = 0;
-  uint64_t number_ = 0;
+  std::vector<std::string> probe_order_;  // shuffled anew for each round
+  size_t probe_index_ = 0;
+  uint64_t last_number_ = 0;
   Probe probe_;
-  std::map<uint64_t, Relay> relays_;  // by the number of the own probe
-  std::deque<News> news_;
-  int lateness_ = 0;
-  Micros next_{-1}, ticked_{-1}, answered_{-1};
-  std::vector<Message> out_;
+  std::map<uint64_t, IndirectProbe> indirect_probes_;  // by the number of the own probe
+  std::deque<QueuedUpdate> gossip_;
+  int missed_probes_ = 0;
+  Micros next_probe_at_{-1};
+  Micros ticked_at_{-1};
+  Micros answered_at_{-1};
+  std::vector<Message> outgoing_;
 };
 
 }  // namespace badgershore::membership
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -38,12 +38,13 @@
 
 template <class Archive>
 void serialize(Archive& ar, Update& u) {
-  ar(u.member, u.state, u.incarnation, u.by);
+  ar(u.member, u.state, u.incarnation, u.suspected_by);
 }
 
 template <class Archive>
 void serialize(Archive& ar, Message& m) {
-  ar(m.kind, m.from, m.to, m.incarnation, m.number, m.target, m.state_ok, m.hears_workers, m.news);
+  ar(m.kind, m.from, m.to, m.incarnation, m.number, m.target, m.state_service_reachable,
+     m.receives_heartbeats, m.gossip);
 }
 
 }  // namespace membership
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -52,7 +52,7 @@
     int n = 0;
     for (const auto& [name, m] : at) {
       if (name == member || down.contains(name)) continue;
-      n += firm ? m.Firm(now, member) : m.Find(member)->state == State::kSuspect;
+      n += firm ? m.IsSuspicionConfirmed(now, member) : m.Find(member)->state == State::kSuspect;
     }
     return n;
   }
@@ -123,7 +123,7 @@
   EXPECT_EQ(net.Suspecting("m-100"), 2);
   net.frozen.clear();
   net.Run(Millis(300));
-  EXPECT_GT(net.at.at("m-100").doubt(), 1);
+  EXPECT_GT(net.at.at("m-100").health_multiplier(), 1);
   EXPECT_EQ(net.at.at("m-100").Find("m-101")->state, State::kAlive);
   net.Run(Seconds(5));
   EXPECT_EQ(net.Suspecting("m-100"), 0);  // it has refuted
@@ -140,8 +140,8 @@
   EXPECT_EQ(net.Suspecting("m-100", true) + net.Suspecting("m-101", true), 0);
   net.cut = {{"m-100", "m-101"}, {"m-101", "m-100"}, {"m-100", "m-102"}, {"m-102", "m-100"}};
   net.Run(Seconds(20));
-  EXPECT_TRUE(net.at.at("m-100").CutOff(net.now));
-  EXPECT_FALSE(net.at.at("m-101").CutOff(net.now));
+  EXPECT_TRUE(net.at.at("m-100").IsIsolated(net.now));
+  EXPECT_FALSE(net.at.at("m-101").IsIsolated(net.now));
   EXPECT_EQ(net.at.at("m-100").Find("m-101")->state, State::kAlive);
   EXPECT_EQ(net.Suspecting("m-100", true), 2);
 }
@@ -154,7 +154,7 @@
   old.from = "m-102";
   old.to = "m-100";
   old.incarnation = 999;
-  old.news = {{"m-101", State::kSuspect, 999, "m-102"}};
+  old.gossip = {{"m-101", State::kSuspect, 999, "m-102"}};
   net.at.at("m-102").Leave(net.now);
   net.Post("m-102");
   net.Run(Millis(200));
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -189,10 +189,10 @@
 
 TEST(Peers, ProbesAreMarkedAndComeBack) {
   membership::Message m;
-  m.kind = membership::Message::Kind::kAsk;
+  m.kind = membership::Message::Kind::kPingRequest;
   m.from = "m-1";
   m.number = 8;
-  m.news = {{"m-2", membership::State::kSuspect, 5, "m-1"}};
+  m.gossip = {{"m-2", membership::State::kSuspect, 5, "m-1"}};
   const std::string frame = peer::Encode(m);
   const auto head = peer::ReadHead(frame);
   ASSERT_TRUE(head && head->member && !head->cell);
@@ -200,7 +200,7 @@
   ASSERT_TRUE(back);
   EXPECT_EQ(back->kind, m.kind);
   EXPECT_EQ(back->number, 8u);
-  EXPECT_EQ(back->news.at(0).state, membership::State::kSuspect);
+  EXPECT_EQ(back->gossip.at(0).state, membership::State::kSuspect);
   EXPECT_FALSE(peer::DecodeMember(std::string_view(frame).substr(4, head->size / 2)));
 }
 
