--- a/src/core/controller/peer_view.cpp
+++ b/src/core/controller/peer_view.cpp
@@ -1,6 +1,6 @@
 #include "core/controller/peer_view.h"
 
-#include <tuple>
+#include <compare>
 #include <utility>
 
 namespace badgershore {
@@ -19,6 +19,12 @@
   auto operator<=>(const CandidateRank&) const = default;
 };
 
+struct SuccessorRank {
+  bool state_service_unreachable = false;
+  bool without_heartbeats = false;
+  auto operator<=>(const SuccessorRank&) const = default;
+};
+
 }  // namespace
 
 void PeerView::CreateMembers(int64_t time_of_day_ms) {
@@ -97,16 +103,16 @@
 
 std::string PeerView::PreferredSuccessor(Micros now) const {
   std::string best;
-  auto least = std::make_tuple(true, true);
+  SuccessorRank best_rank;
   for (const auto& [name, peer] : peers_) {
     if (now - peer.heard_at > kHeardLately) continue;
     const membership::Members::View* view = members_ ? members_->Find(name) : nullptr;
     if (view && view->state != membership::State::kAlive) continue;
-    const auto lacks =
-        std::make_tuple(!peer.status.state_service_reachable, !peer.status.receives_heartbeats);
-    if (best.empty() || lacks < least) {
+    const SuccessorRank rank{!peer.status.state_service_reachable,
+                             !peer.status.receives_heartbeats};
+    if (best.empty() || rank < best_rank) {
       best = name;
-      least = lacks;
+      best_rank = rank;
     }
   }
   return best;
