--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -6,7 +6,7 @@
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/sharing.h"
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 
 namespace badgershore {
 
@@ -214,7 +214,7 @@
 bool Dispatch::Shuns(Micros now, const Job& job, const Machine& m) const {
   return job.spec.deadline &&
          now < job.submitted_at + *job.spec.deadline - job.spec.estimated_runtime.Scaled(0.8) &&
-         scaler().MayBeCleared(job.spec, *m.type, m.zone, m.spot, now);
+         scaler().MayBePreemptedByGangs(job.spec, *m.type, m.zone, m.spot, now);
 }
 
 void Dispatch::Bind(Micros now, Job* job, int task, const Able& able) {
--- a/src/core/leader/gangs.cpp
+++ b/src/core/leader/gangs.cpp
@@ -6,7 +6,7 @@
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/sharing.h"
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 
 namespace badgershore {
 namespace {
@@ -136,7 +136,7 @@
 }
 
 void Gangs::Follow(Micros now, Job* job) {
-  scaler().NoteGang(job->spec, now);
+  scaler().RecordGangDemand(job->spec, now);
   if (job->placed == 0) {
     // Every member is proved gone; the next attempt is a new one.
     job->gang_attempt = 0;
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -5,7 +5,7 @@
 #include "core/leader/occupancy.h"
 #include "core/leader/recorder.h"
 #include "core/leader/sharing.h"
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 #include "core/placement/guardrails.h"
 
 namespace badgershore {
@@ -61,18 +61,18 @@
   job->tasks.resize(static_cast<size_t>(spec.tasks));
   job->progress_pages.resize(static_cast<size_t>((spec.tasks + kChunkTasks - 1) / kChunkTasks));
   if (!job->IsGang()) {
-    if (!job->IsService()) scaler().ArrayArrived(spec, job->submitted_at, now);
+    if (!job->IsService()) scaler().RecordArrayArrival(spec, job->submitted_at, now);
     for (int i = 0; i < spec.tasks; ++i) job->waiting.push_back(i);
   } else {
-    scaler().NoteGang(spec, now);
-    scaler().GangArrived(spec, job->submitted_at);
+    scaler().RecordGangDemand(spec, now);
+    scaler().RecordGangArrival(spec, job->submitted_at);
   }
   if (!types().empty()) {
     Micros boot;
     for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
-    scaler().Arrived(spec,
-                     scaler().Allowance(spec, settings().objectives, 1.0) - spec.estimated_runtime,
-                     boot, job->submitted_at, now);
+    scaler().RecordUrgentArrival(
+        spec, scaler().CompletionTarget(spec, settings().objectives, 1.0) - spec.estimated_runtime,
+        boot, job->submitted_at, now);
   }
   job->cancel_pending = called_off_.contains(spec.id);
   jobs_[spec.id] = std::move(job);
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -21,7 +21,7 @@
 #include "core/leader/rights.h"
 #include "core/leader/sharing.h"
 #include "core/leader/supervisor.h"
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 
 namespace badgershore {
 
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -115,7 +115,7 @@
     machine_table().GiveBack(now, m, "failed, says the cloud");
 }
 
-void Provisioner::Rent(Micros now, const Offer& offer, int count) {
+void Provisioner::Rent(Micros now, const InstanceOffer& offer, int count) {
   for (; count > kMostInRental; count -= kMostInRental) Rent(now, offer, kMostInRental);
   // A name is never used twice: the term is this leader's alone.
   const std::string name =
@@ -151,13 +151,13 @@
                        m->rented_at = std::min(m->rented_at, t);
                      }
                      if (r.created.size() < static_cast<size_t>(p.count))
-                       scaler().Refused(p.offer, t);
+                       scaler().RecordRefusal(p.offer, t);
                      pending_.erase(it);
                    } else if (r.outcome == CloudResponse::Outcome::kUnknown && ++p.tries < 6) {
                      p.retry_at = t + Seconds(1);  // the same name: it may have been carried out
                    } else {
                      if (r.outcome == CloudResponse::Outcome::kNoCapacity)
-                       scaler().Refused(p.offer, t);
+                       scaler().RecordRefusal(p.offer, t);
                      if (r.outcome == CloudResponse::Outcome::kThrottled)
                        scale_at_ = t + Seconds(2);
                      pending_.erase(it);
@@ -169,32 +169,34 @@
   scale_at_ = now + Seconds(1);
   // While what runs where is not known, the need isn't either.
   if (!machine_table().unresolved().empty() && now - began() < Seconds(3)) return;
-  ScaleView view;
+  ScalingSnapshot view;
   view.now = now;
-  view.reign_began = began();
-  view.types = &types();
+  view.term_began_at = began();
+  view.machine_types = &types();
   view.zones = &settings().zones;
   view.objectives = &settings().objectives;
-  view.limit = [this](int team) {
+  view.team_cpu_limit = [this](int team) {
     const int64_t cpu = occupancy().Limit(team).cpu;
     return cpu < limits::kUnlimited ? cpu : INT64_MAX;
   };
   int64_t all_limits = 0;
   for (size_t i = 0; i < settings().teams.size() && all_limits < INT64_MAX; ++i) {
-    const int64_t limit = view.limit(static_cast<int>(i));
+    const int64_t limit = view.team_cpu_limit(static_cast<int>(i));
     all_limits = limit < INT64_MAX ? all_limits + limit : INT64_MAX;
   }
-  view.all_limits = all_limits;
-  view.gang_room = [this](int team, Priority rank) { return occupancy().FirmRoom(team, rank); };
-  view.team_of = [this](const std::string& name) { return occupancy().TeamOf(name); };
+  view.total_cpu_limit = all_limits;
+  view.gang_cpu_headroom = [this](int team, Priority rank) {
+    return occupancy().FirmRoom(team, rank);
+  };
+  view.team_index = [this](const std::string& name) { return occupancy().TeamOf(name); };
   for (auto& [id, m] : machine_table().machines()) view.machines.push_back(m.get());
   for (auto& [id, job] : job_table().jobs()) view.jobs.push_back(job.get());
   for (auto& [name, p] : pending_) {
-    if (types().count(p.offer.type)) view.pending[p.offer] += p.count;
+    if (types().count(p.offer.type)) view.pending_scale_out[p.offer] += p.count;
   }
-  const ScalePlan plan = scaler().Decide(view);
-  for (Machine* m : plan.unretire) m->draining = false;
-  for (Machine* m : plan.retire) {
+  const ScalingDecision plan = scaler().Decide(view);
+  for (Machine* m : plan.undrain) m->draining = false;
+  for (Machine* m : plan.drain) {
     asker()->Debug("retiring " + m->id);
     m->draining = true;
     dispatch().Unbind(m);
@@ -208,10 +210,10 @@
     if (any) machine_table().HaltNow(now, m);
     if (m->allocations.empty() && m->idle_since.count < 0) m->idle_since = now;
   }
-  for (Machine* m : plan.give_back) {
+  for (Machine* m : plan.release) {
     if (m->allocations.empty() && m->queue.empty()) machine_table().GiveBack(now, m, "idle");
   }
-  for (const RentPlan& r : plan.rent) Rent(now, r.offer, r.count);
+  for (const ScaleOutRequest& r : plan.scale_out) Rent(now, r.offer, r.count);
   CountPaid(now);
   if (now >= log_at_) {
     log_at_ = now + Seconds(5);
@@ -233,7 +235,7 @@
   for (auto& [id, job] : job_table().jobs()) work_waits |= job->queued > 0 || !job->waiting.empty();
   for (auto& [id, m] : machine_table().machines()) {
     if (!m->type || m->type->size.cpu == 0) continue;
-    Paid& p = paid_[Offer{m->type_name, "", m->spot}];
+    Paid& p = paid_[InstanceOffer{m->type_name, "", m->spot}];
     p.held += dt;
     if (m->stage == MachineStage::kBooting) {
       p.boot += dt;
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -8,7 +8,7 @@
 
 #include "core/leader/part.h"
 #include "core/model/fleet.h"
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 
 namespace badgershore {
 
@@ -21,7 +21,7 @@
 
  private:
   struct PendingRent {
-    Offer offer;
+    InstanceOffer offer;
     int count = 0;
     int tries = 0;
     bool asking = false;
@@ -34,7 +34,7 @@
   void ListMachines(Micros now, const std::string& after);
   void Listed(Micros now, const CloudInstance& l);
   void AskTypes(Micros now);
-  void Rent(Micros now, const Offer& offer, int count);
+  void Rent(Micros now, const InstanceOffer& offer, int count);
   void SendRent(Micros now, const std::string& name);
   void Scale(Micros now);
   void CountPaid(Micros now);
@@ -48,7 +48,7 @@
   std::vector<std::string> return_queue_;
   bool returning_ = false;
   Micros return_at_;
-  std::map<Offer, Paid> paid_;
+  std::map<InstanceOffer, Paid> paid_;
   Micros paid_at_;
 };
 
--- a/src/core/placement/autoscale.cpp
+++ b/src/core/placement/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 
 #include <cmath>
 #include <limits>
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-Micros Autoscaler::Allowance(const JobSpec& spec, const std::vector<Objective>& objectives,
-                             double share) const {
+Micros Autoscaler::CompletionTarget(const JobSpec& spec, const std::vector<Objective>& objectives,
+                                    double share) const {
   if (spec.deadline) return *spec.deadline;
   for (const Objective& o : objectives) {
     if (o.job_class == spec.job_class && o.kind == "finished") return o.within.Scaled(share);
@@ -41,7 +41,7 @@
 // How long the job's work may take from now on: until the first of its lane's aims, or its
 // deadline, that a machine rented now could still help to meet. What is late for all of them is
 // worked off at leisure.
-Micros Autoscaler::TimeLeft(const ScaleView& view, const Job& job, Micros boot) const {
+Micros Autoscaler::RemainingTime(const ScalingSnapshot& view, const Job& job, Micros boot) const {
   const JobSpec& s = job.spec;
   Micros best = kNever;
   const auto consider = [&](Micros within) {
@@ -61,8 +61,8 @@
   return best < kNever ? best : boot + options_.drain_target + s.estimated_runtime;
 }
 
-bool Autoscaler::ForGangs(const MachineType& type, const std::string& zone, bool spot,
-                          Micros now) const {
+bool Autoscaler::IsNeededByGangs(const MachineType& type, const std::string& zone, bool spot,
+                                 Micros now) const {
   for (const auto& [lane, need] : gang_needs_) {
     if (now - need.last > kGangMemory || !Allows(need.spec, type, zone, spot)) continue;
     const Resources& n = need.spec.need;
@@ -74,8 +74,8 @@
   return false;
 }
 
-bool Autoscaler::MayBeCleared(const JobSpec& spec, const MachineType& type, const std::string& zone,
-                              bool spot, Micros now) const {
+bool Autoscaler::MayBePreemptedByGangs(const JobSpec& spec, const MachineType& type,
+                                       const std::string& zone, bool spot, Micros now) const {
   if (spec.checkpoint_interval.count > 0) return false;
   for (const auto& [lane, need] : gang_needs_) {
     if (now - need.last <= kArrivalsKept && need.spec.priority < spec.priority &&
@@ -86,19 +86,20 @@
   return false;
 }
 
-double Autoscaler::Price(const ScaleView& view, const Offer& offer) const {
-  const MachineType& t = view.types->at(offer.type);
+double Autoscaler::Price(const ScalingSnapshot& view, const InstanceOffer& offer) const {
+  const MachineType& t = view.machine_types->at(offer.type);
   return offer.spot ? t.spot_price : t.price;
 }
 
-std::vector<Offer> Autoscaler::OffersFor(const ScaleView& view, const JobSpec& spec) const {
-  std::vector<Offer> out;
-  for (const auto& [name, type] : *view.types) {
+std::vector<InstanceOffer> Autoscaler::OffersFor(const ScalingSnapshot& view,
+                                                 const JobSpec& spec) const {
+  std::vector<InstanceOffer> out;
+  for (const auto& [name, type] : *view.machine_types) {
     const auto& zones = type.zones.empty() ? *view.zones : type.zones;
     for (const std::string& zone : zones) {
       for (bool spot : {false, true}) {
         if (!Allows(spec, type, zone, spot)) continue;
-        Offer offer{name, zone, spot};
+        InstanceOffer offer{name, zone, spot};
         auto it = refused_until_.find(offer);
         if (it != refused_until_.end() && view.now < it->second) continue;
         out.push_back(offer);
@@ -108,15 +109,15 @@
   return out;
 }
 
-ScalePlan Autoscaler::Decide(const ScaleView& view) {
-  ScalePlan plan;
+ScalingDecision Autoscaler::Decide(const ScalingSnapshot& view) {
+  ScalingDecision plan;
   summary_.clear();
   PlanGangs(view, &plan);
   PlanArrays(view, &plan);
   return plan;
 }
 
-void Autoscaler::PlanGangs(const ScaleView& view, ScalePlan* plan) {
+void Autoscaler::PlanGangs(const ScalingSnapshot& view, ScalingDecision* plan) {
   std::vector<Room> rooms;
   Priority highest = Priority::kIdle;
   for (const Job* job : view.jobs) {
@@ -144,37 +145,37 @@
     }
     rooms.push_back({m, m->type, m->zone, m->spot, m->type->size - used});
   }
-  for (const auto& [offer, count] : view.pending) {
-    const MachineType& t = view.types->at(offer.type);
+  for (const auto& [offer, count] : view.pending_scale_out) {
+    const MachineType& t = view.machine_types->at(offer.type);
     for (int i = 0; i < count; ++i) rooms.push_back({nullptr, &t, offer.zone, offer.spot, t.size});
   }
-  std::map<Offer, int> wanted;
+  std::map<InstanceOffer, int> wanted;
   int waiting = 0;
   const auto provide = [&](const JobSpec& spec) {
     for (Room& room : rooms) {
       if (!Allows(spec, *room.type, room.zone, room.spot) || !spec.need.Fits(room.free)) continue;
       room.free = room.free - spec.need;
-      if (room.machine && room.machine->draining) plan->unretire.push_back(room.machine);
+      if (room.machine && room.machine->draining) plan->undrain.push_back(room.machine);
       if (room.machine) plan->keep.insert(room.machine);
       return;
     }
-    const Offer* best = nullptr;
-    const std::vector<Offer> offers = OffersFor(view, spec);
-    for (const Offer& o : offers) {
+    const InstanceOffer* best = nullptr;
+    const std::vector<InstanceOffer> offers = OffersFor(view, spec);
+    for (const InstanceOffer& o : offers) {
       if (!best || Price(view, o) < Price(view, *best)) best = &o;
     }
     if (!best) return;
     ++wanted[*best];
-    const MachineType& t = view.types->at(best->type);
+    const MachineType& t = view.machine_types->at(best->type);
     rooms.push_back({nullptr, &t, best->zone, best->spot, t.size - spec.need});
   };
   // What a team's limit does not let start needs no machine.
   std::map<std::pair<int, Priority>, int64_t> taken;
   const auto within_limit = [&](int team, const JobSpec& spec, int members) {
-    if (!view.gang_room) return true;
+    if (!view.gang_cpu_headroom) return true;
     int64_t& sum = taken[{team, spec.priority}];
     const int64_t cpu = spec.need.cpu * members;
-    if (cpu > view.gang_room(team, spec.priority) - sum) return false;
+    if (cpu > view.gang_cpu_headroom(team, spec.priority) - sum) return false;
     sum += cpu;
     return true;
   };
@@ -189,18 +190,18 @@
   for (const auto& [lane, need] : gang_needs_) {
     if (need.arrivals.empty()) continue;
     Micros boot;
-    for (const auto& [name, type] : *view.types) {
+    for (const auto& [name, type] : *view.machine_types) {
       if (need.spec.need.Fits(type.size)) boot = std::max(boot, type.boot);
     }
-    const int spare = SpareMembers(need, boot, view.now);
-    const int team = view.team_of ? view.team_of(need.spec.team) : -1;
+    const int spare = ExpectedMembers(need, boot, view.now);
+    const int team = view.team_index ? view.team_index(need.spec.team) : -1;
     for (int i = 0; i < spare && within_limit(team, need.spec, 1); ++i) provide(need.spec);
   }
-  for (const auto& [offer, count] : wanted) plan->rent.push_back({offer, count});
+  for (const auto& [offer, count] : wanted) plan->scale_out.push_back({offer, count});
   if (waiting > 0) summary_ += "gang members waiting " + std::to_string(waiting) + "; ";
 }
 
-void Autoscaler::PlanArrays(const ScaleView& view, ScalePlan* plan) {
+void Autoscaler::PlanArrays(const ScalingSnapshot& view, ScalingDecision* plan) {
   // One measure for all: thousandths of a CPU. `typical` is the need of the job with most left.
   const Job* typical = nullptr;
   struct Wish {
@@ -211,7 +212,7 @@
   std::map<int, double> wide;  // by team: all of its tasks at once
   double running = 0, waiting_work = 0, widest = 0, replicas = 0;
   Micros quickest = kNever;
-  for (const auto& [name, type] : *view.types) quickest = std::min(quickest, type.boot);
+  for (const auto& [name, type] : *view.machine_types) quickest = std::min(quickest, type.boot);
   for (const Job* job : view.jobs) {
     if (job->IsGang() || job->finishing) continue;
     const JobSpec& s = job->spec;
@@ -225,16 +226,17 @@
     const double est = std::max(1.0, s.estimated_runtime.ToSeconds());
     const double work = (open + 0.5 * job->placed) * est * static_cast<double>(s.need.cpu);
     waiting_work += open * est * static_cast<double>(s.need.cpu);
-    wishes.push_back({TimeLeft(view, *job, quickest), s.estimated_runtime, work});
+    wishes.push_back({RemainingTime(view, *job, quickest), s.estimated_runtime, work});
     wide[job->team] += static_cast<double>(job->WantedTasks()) * static_cast<double>(s.need.cpu);
   }
   // More than its limit a team never has at once, however much of its work waits.
   double most = std::numeric_limits<double>::max();
-  if (view.limit) {
+  if (view.team_cpu_limit) {
     for (auto& [team, cpu] : wide) {
-      if (view.limit(team) < INT64_MAX) cpu = std::min(cpu, static_cast<double>(view.limit(team)));
+      if (view.team_cpu_limit(team) < INT64_MAX)
+        cpu = std::min(cpu, static_cast<double>(view.team_cpu_limit(team)));
     }
-    if (view.all_limits < INT64_MAX) most = static_cast<double>(view.all_limits);
+    if (view.total_cpu_limit < INT64_MAX) most = static_cast<double>(view.total_cpu_limit);
   }
   for (const auto& [team, cpu] : wide) widest += cpu;
   std::sort(wishes.begin(), wishes.end(),
@@ -250,7 +252,7 @@
   };
   double cheapest = 0;
   if (typical) {
-    for (const auto& [name, type] : *view.types) {
+    for (const auto& [name, type] : *view.machine_types) {
       for (bool spot : {false, true}) {
         const double cap = capacity(type, typical->spec.zone.value_or(""), spot);
         if (cap <= 0) continue;
@@ -259,7 +261,7 @@
       }
     }
   }
-  const auto cheap = [&](const Offer& offer, double cap) {
+  const auto cheap = [&](const InstanceOffer& offer, double cap) {
     return cap > 0 && Price(view, offer) <= kNearCheapest * cheapest * cap;
   };
   double have = 0, up = 0, cheap_have = 0, cheap_up = 0;
@@ -283,8 +285,8 @@
       coming.push_back({std::max(m->type->boot - age, m->type->boot.Scaled(0.1)), c, is_cheap});
     }
   }
-  for (const auto& [offer, count] : view.pending) {
-    const MachineType& t = view.types->at(offer.type);
+  for (const auto& [offer, count] : view.pending_scale_out) {
+    const MachineType& t = view.machine_types->at(offer.type);
     const double c = count * capacity(t, offer.zone, offer.spot);
     have += c;
     const bool is_cheap = cheap(offer, capacity(t, offer.zone, offer.spot));
@@ -294,8 +296,8 @@
   // What has to be done by each time, against what the machines there are can do by then. A new
   // one helps only with what is left after its boot, and only with whole tasks.
   // What surely goes on arriving takes its part of all this.
-  stream_.Fade(view.now);
-  const double stream = std::min(stream_.Sure(options_.arrival_doubt), most);
+  stream_.Decay(view.now);
+  const double stream = std::min(stream_.LowerBound(options_.arrival_doubt), most);
   double keep = stream, deficit = 0;
   const auto measure = [&](double* kept, bool cheap_only) {
     double worst = 0, sum = 0;
@@ -324,9 +326,9 @@
             [](const Wish& a, const Wish& b) { return a.left < b.left; });
   double soon = std::max(deficit, measure(nullptr, true));
   const double need = std::min({keep, widest + stream, most}) + replicas;
-  urgent_.Fade(view.now);
+  urgent_.Decay(view.now);
   const double ready = std::min(most, (urgent_.Mean() + options_.ready_spread * urgent_.Spread()) *
-                                          urgent_.Trust(options_.ready_doubt));
+                                          urgent_.Confidence(options_.ready_doubt));
   summary_ += "need " + std::to_string(static_cast<int>(need / 1000)) + " short " +
               std::to_string(static_cast<int>(deficit / 1000)) + " have " +
               std::to_string(static_cast<int>(have / 1000)) + " stream " +
@@ -341,7 +343,7 @@
     for (Machine* m : view.machines) {
       if (soon <= 0) break;
       if (!m->draining || !Usable(*m)) continue;
-      plan->unretire.push_back(m);
+      plan->undrain.push_back(m);
       const double c = capacity_of(*m);
       have += c;
       deficit -= c;
@@ -349,14 +351,14 @@
     }
   }
   if (typical && soon > 0) {
-    std::map<Offer, int> wanted;
-    const std::vector<Offer> offers = OffersFor(view, typical->spec);
+    std::map<InstanceOffer, int> wanted;
+    const std::vector<InstanceOffer> offers = OffersFor(view, typical->spec);
     int rounds = 0;
     while (soon > 0 && ++rounds <= kMostRented) {
-      const Offer* best = nullptr;
+      const InstanceOffer* best = nullptr;
       double best_cost = 0, best_cap = 0;
-      for (const Offer& o : offers) {
-        const MachineType& t = view.types->at(o.type);
+      for (const InstanceOffer& o : offers) {
+        const MachineType& t = view.machine_types->at(o.type);
         const double cap = capacity(t, o.zone, o.spot);
         if (cap <= 0) continue;
         // What is there may do the work before the new machine is up.
@@ -377,27 +379,27 @@
       deficit -= best_cap;
       soon -= best_cap;
     }
-    for (const auto& [offer, count] : wanted) plan->rent.push_back({offer, count});
+    for (const auto& [offer, count] : wanted) plan->scale_out.push_back({offer, count});
   }
 
   // The measure above speaks of the job with most left. One that no machine at hand can hold gets
   // a machine of its own.
   for (const Job* job : view.jobs) {
     if (job->IsGang() || job->finishing || job->WantedTasks() == job->placed) continue;
-    bool held = !plan->rent.empty();
+    bool held = !plan->scale_out.empty();
     for (Machine* m : view.machines) {
       if (held) break;
       held = Usable(*m) && !m->draining && Allows(job->spec, *m->type, m->zone, m->spot);
     }
-    for (const auto& [offer, count] : view.pending) {
-      held |= Allows(job->spec, view.types->at(offer.type), offer.zone, offer.spot);
+    for (const auto& [offer, count] : view.pending_scale_out) {
+      held |= Allows(job->spec, view.machine_types->at(offer.type), offer.zone, offer.spot);
     }
     if (held) continue;
-    const std::vector<Offer> offers = OffersFor(view, job->spec);
+    const std::vector<InstanceOffer> offers = OffersFor(view, job->spec);
     const auto best = std::min_element(offers.begin(), offers.end(), [&](auto& a, auto& b) {
       return Price(view, a) < Price(view, b);
     });
-    if (best != offers.end()) plan->rent.push_back({*best, 1});
+    if (best != offers.end()) plan->scale_out.push_back({*best, 1});
   }
 
   // Giving back: what has long been idle, and the dearest machine that is not needed.
@@ -423,7 +425,7 @@
   }
   for (Machine* m : view.machines) {
     if (!Usable(*m) || m->stage != MachineStage::kUp || plan->keep.count(m)) continue;
-    const bool for_gangs = ForGangs(*m->type, m->zone, m->spot, view.now);
+    const bool for_gangs = IsNeededByGangs(*m->type, m->zone, m->spot, view.now);
     const Micros gang_limit = m->type->boot.Scaled(options_.gang_idle_boots);
     const bool gang_lately = for_gangs && view.now - m->last_gang_at < gang_limit;
     const Micros held = view.now - m->rented_at;
@@ -435,7 +437,7 @@
       if (is_cheap && cheap_have - c < ready) continue;
       if (!m->draining && surplus <= 0) continue;
       if (!gang_lately && view.now - m->idle_since >= limit && held >= kMinimumPaid) {
-        plan->give_back.push_back(m);
+        plan->release.push_back(m);
         surplus -= !m->draining;
         if (is_cheap) cheap_have -= c;
         continue;
@@ -447,7 +449,7 @@
     const double price = Price(view, {m->type_name, m->zone, m->spot}) / cap;
     spares.push_back({m, price, cap, m->allocations.size()});
   }
-  if (view.now - view.reign_began <= Seconds(20)) return;
+  if (view.now - view.term_began_at <= Seconds(20)) return;
   // The dearest first, and of those what will be empty soonest.
   std::sort(spares.begin(), spares.end(), [](const Spare& a, const Spare& b) {
     return std::make_tuple(-a.price, a.tasks, a.machine->id) <
@@ -457,7 +459,7 @@
     if (surplus <= 0) break;
     if (have - s.cap < (s.price > kNearCheapest * cheapest ? floor : std::max(floor, running)))
       continue;
-    plan->retire.push_back(s.machine);
+    plan->drain.push_back(s.machine);
     --surplus;
     have -= s.cap;
   }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -2,7 +2,7 @@
 
 #include "core/frontend/admission.h"
 #include "core/model/jobs.h"
-#include "core/placement/autoscale.h"
+#include "core/placement/autoscaler.h"
 #include "core/placement/guardrails.h"
 
 namespace badgershore {
@@ -170,16 +170,17 @@
     JobSpec spec = waiting.spec;
     spec.tasks = 40;
     for (int i = 0; i < earlier; ++i) {
-      scaler.Arrived(spec, Seconds(27), Seconds(30), Seconds(4.0 * i), Seconds(100));
+      scaler.RecordUrgentArrival(spec, Seconds(27), Seconds(30), Seconds(4.0 * i), Seconds(100));
     }
-    ScaleView view;
+    ScalingSnapshot view;
     view.now = Seconds(100);
-    view.types = &types;
+    view.machine_types = &types;
     view.zones = &zones;
     view.objectives = &objectives;
     view.jobs = {&waiting};
     int count = 0;
-    for (const RentPlan& r : scaler.Decide(view).rent) count += r.offer.spot ? r.count : 0;
+    for (const ScaleOutRequest& r : scaler.Decide(view).scale_out)
+      count += r.offer.spot ? r.count : 0;
     return count;
   };
   EXPECT_LE(rented(0), 1);
