--- a/src/core/placement/arrival_forecast.cpp
+++ b/src/core/placement/arrival_forecast.cpp
@@ -1,111 +1,83 @@
-// What of late arrived foretells: how much work comes, how much of it can't wait for a boot, which
-// gangs come again. Part of the autoscaler.
+#include "core/placement/arrival_forecast.h"
+
 #include <algorithm>
 #include <cmath>
 
-#include "core/placement/autoscaler.h"
-
 namespace badgershore {
 namespace {
 
-constexpr Micros kStreamWindow = Seconds(60);
-constexpr Micros kCrowdWindow = Seconds(180);
-constexpr Micros kLeastSeen = Seconds(60);
-constexpr Micros kArrivalsKept = Seconds(120);
+constexpr Micros kRateWindow = Seconds(60);
+constexpr Micros kUrgentLoadWindow = Seconds(180);
+constexpr Micros kMinObservedTime = Seconds(60);
 
-}  // namespace
-
-void Autoscaler::ArrivalRateForecast::Add(double work, Micros arrived, Micros now) {
-  Decay(now);
-  const double share =
-      std::exp(-std::max(0.0, (now - arrived).ToSeconds()) / kStreamWindow.ToSeconds());
-  sum += work * share;
-  squares += work * work * share * share;
+// Weight of a sample of this age in an exponentially weighted sum.
+double DecayFactor(Micros age, Micros window) {
+  return std::exp(-age.ToSeconds() / window.ToSeconds());
 }
 
-void Autoscaler::ArrivalRateForecast::Decay(Micros now) {
-  const double share = std::exp(-(now - at).ToSeconds() / kStreamWindow.ToSeconds());
-  sum *= share;
-  squares *= share * share;
-  at = now;
+// The same for an arrival, which may lie in the future by clock skew.
+double ArrivalWeight(Micros arrived, Micros now, Micros window) {
+  return std::exp(-std::max(0.0, (now - arrived).ToSeconds()) / window.ToSeconds());
 }
 
-// Work a second that surely goes on arriving: the mean of late, shrunk by what chance makes of it.
-// A few large jobs foretell nothing, many small ones do. `jobs`: how many of one size would vary
-// as these do.
-double Autoscaler::ArrivalRateForecast::LowerBound(double doubt) const {
-  if (sum <= 0) return 0;
-  const double jobs = sum * sum / squares;
-  return sum / kStreamWindow.ToSeconds() * std::max(0.0, 1 - doubt / jobs);
-}
+}  // namespace
 
-void Autoscaler::RecordArrayArrival(const JobSpec& spec, Micros arrived, Micros now) {
-  stream_.Add(static_cast<double>(spec.need.cpu) * spec.tasks * spec.estimated_runtime.ToSeconds(),
-              arrived, now);
+void ArrivalRateForecast::Add(double work, Micros arrived, Micros now) {
+  Decay(now);
+  const double weight = ArrivalWeight(arrived, now, kRateWindow);
+  sum_ += work * weight;
+  squares_ += work * work * weight * weight;
 }
 
-void Autoscaler::RecordUrgentArrival(const JobSpec& spec, Micros slack, Micros boot, Micros arrived,
-                                     Micros now) {
-  if (spec.kind != JobKind::kArray || slack > boot.Scaled(1.5)) return;
-  urgent_.Add(static_cast<double>(spec.need.cpu) * spec.tasks, spec.estimated_runtime.ToSeconds(),
-              arrived, now);
+void ArrivalRateForecast::Decay(Micros now) {
+  const double factor = DecayFactor(now - decayed_at_, kRateWindow);
+  sum_ *= factor;
+  squares_ *= factor * factor;
+  decayed_at_ = now;
 }
 
-void Autoscaler::UrgentLoadForecast::Decay(Micros now) {
-  const double share = std::exp(-(now - at).ToSeconds() / kCrowdWindow.ToSeconds());
-  work *= share;
-  squares *= share * share;
-  bursts *= share;
-  at = now;
+double ArrivalRateForecast::LowerBound(double min_jobs) const {
+  if (sum_ <= 0) return 0;
+  // How many jobs of equal size would vary as much: a few large jobs predict little.
+  const double equal_jobs = sum_ * sum_ / squares_;
+  return sum_ / kRateWindow.ToSeconds() * std::max(0.0, 1 - min_jobs / equal_jobs);
 }
 
-void Autoscaler::UrgentLoadForecast::Add(double cpus, double seconds, Micros arrived, Micros now) {
+void UrgentLoadForecast::Add(double cpus, double seconds, Micros arrived, Micros now) {
   Decay(now);
-  since = std::min(since, arrived);
-  const double share =
-      std::exp(-std::max(0.0, (now - arrived).ToSeconds()) / kCrowdWindow.ToSeconds());
-  work += cpus * seconds * share;
-  squares += cpus * seconds * cpus * seconds * share * share;
-  bursts += cpus * cpus * seconds * share;
+  first_arrival_at_ = std::min(first_arrival_at_, arrived);
+  const double weight = ArrivalWeight(arrived, now, kUrgentLoadWindow);
+  work_ += cpus * seconds * weight;
+  work_squares_ += cpus * seconds * cpus * seconds * weight * weight;
+  cpu_squares_ += cpus * cpus * seconds * weight;
 }
 
-// While less than the window has been seen, what came speaks of the time that it came in.
-double Autoscaler::UrgentLoadForecast::Window() const {
-  const double seen = since < kNever ? std::max(kLeastSeen, at - since).ToSeconds() : 0;
-  const double window = kCrowdWindow.ToSeconds();
-  return window * (1 - std::exp(-std::max(seen, 1.0) / window));
+void UrgentLoadForecast::Decay(Micros now) {
+  const double factor = DecayFactor(now - decayed_at_, kUrgentLoadWindow);
+  work_ *= factor;
+  work_squares_ *= factor * factor;
+  cpu_squares_ *= factor;
+  decayed_at_ = now;
 }
 
-// Jobs that come at random and all find room are under way in a number whose mean is the work that
-// comes in a second and whose variance is the sum of the squares of their sizes (M/G/infinity).
-double Autoscaler::UrgentLoadForecast::Mean() const { return work / Window(); }
-double Autoscaler::UrgentLoadForecast::Spread() const { return std::sqrt(bursts / Window()); }
-double Autoscaler::UrgentLoadForecast::Confidence(double doubt) const {
-  return work > 0 ? std::max(0.0, 1 - doubt * squares / (work * work)) : 0;
+// Total weight of the observed time: shorter than the window until it has been observed in full.
+double UrgentLoadForecast::WindowSeconds() const {
+  const double observed =
+      first_arrival_at_ < kNever
+          ? std::max(kMinObservedTime, decayed_at_ - first_arrival_at_).ToSeconds()
+          : 0;
+  const double window = kUrgentLoadWindow.ToSeconds();
+  return window * (1 - std::exp(-std::max(observed, 1.0) / window));
 }
 
-void Autoscaler::RecordGangDemand(const JobSpec& spec, Micros now) {
-  GangNeed& need = gang_needs_[spec.job_class];
-  need.spec = spec;
-  need.last = now;
-  while (!need.arrivals.empty() && now - need.arrivals.front().first > kArrivalsKept) {
-    need.arrivals.pop_front();
-  }
-}
+double UrgentLoadForecast::Mean() const { return work_ / WindowSeconds(); }
 
-void Autoscaler::RecordGangArrival(const JobSpec& spec, Micros at) {
-  gang_needs_[spec.job_class].arrivals.emplace_back(at, spec.tasks);
+double UrgentLoadForecast::StandardDeviation() const {
+  return std::sqrt(cpu_squares_ / WindowSeconds());
 }
 
-int Autoscaler::ExpectedMembers(const GangNeed& need, Micros boot, Micros now) const {
-  int largest = 0, sum = 0;
-  for (const auto& [at, members] : need.arrivals) {
-    if (now - at > kArrivalsKept) continue;
-    largest = std::max(largest, members);
-    sum += members;
-  }
-  const double expected = sum * boot.ToSeconds() / kArrivalsKept.ToSeconds();
-  return std::max(largest, static_cast<int>(std::ceil(expected * options_.gang_spare)));
+double UrgentLoadForecast::Confidence(double min_jobs) const {
+  return work_ > 0 ? std::max(0.0, 1 - min_jobs * work_squares_ / (work_ * work_)) : 0;
 }
 
 }  // namespace badgershore
