--- /dev/null
+++ b/src/core/leader/cloud_inventory.h
@@ -0,0 +1,38 @@
+// What the cloud reports of itself: its machine types and this cell's instances.
+#pragma once
+
+#include <string>
+#include <unordered_set>
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+
+namespace badgershore {
+
+// Polls the cloud, and keeps the machine types and the machine table in step with its answers.
+class CloudInventory : public Part {
+ public:
+  using Part::Part;
+
+  // Sends the polls that are due.
+  void Tick(Micros now);
+
+ private:
+  void PollMachineTypes();
+  void OnMachineTypes(Micros now, const CloudResponse& response);
+  // Asks for the instances whose ids come after `start_after`.
+  void PollInstances(const std::string& start_after);
+  void OnInstances(Micros now, const CloudResponse& response);
+  void OnInstance(Micros now, const CloudInstance& instance);
+  void ReleaseMissingMachines(Micros now);
+  bool IsGone(Micros now, const Machine& machine) const;
+
+  bool types_in_flight_ = false;
+  Micros next_types_at_;
+  bool instances_in_flight_ = false;
+  Micros next_instances_at_;
+  std::unordered_set<std::string> listed_ids_;  // by the current list, as far as it has come
+};
+
+}  // namespace badgershore
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -127,7 +127,7 @@
                 std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) + " s");
   dispatch().Unbind(m);
   m->stage = MachineStage::kTerminating;
-  provisioner().Return(m->id);
+  provisioner().RequestScaleIn(m->id);
 }
 
 void MachineTable::HaltNow(Micros now, Machine* m) {
--- /dev/null
+++ b/src/core/leader/machine_time_accounting.h
@@ -0,0 +1,38 @@
+// What the time of the term's machines was used for, by machine type, for the log.
+#pragma once
+
+#include <map>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+#include "core/placement/scaling_types.h"
+
+namespace badgershore {
+
+class MachineTimeAccounting : public Part {
+ public:
+  using Part::Part;
+
+  // Adds the time since the last call, which is taken to be short.
+  void Update(Micros now);
+  // One line for each machine type.
+  void Log() const;
+
+ private:
+  // Machine seconds. The shares of a machine's time are by CPU.
+  struct Usage {
+    double held = 0;
+    double booting = 0;
+    double running = 0;
+    double fetching_images = 0;
+    double no_queued_work = 0;  // unused while no task waited
+  };
+  bool HasQueuedWork() const;
+  static void AddMachine(const Machine& machine, double seconds, bool has_queued_work,
+                         Usage* usage);
+
+  std::map<InstanceOffer, Usage> usage_;  // the offers' zones are empty
+  Micros updated_at_;                     // 0: not yet
+};
+
+}  // namespace badgershore
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -1,290 +1,223 @@
-// Dealings with the cloud.
 #include "core/leader/provisioner.h"
 
+#include <algorithm>
+
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
-#include "core/leader/recorder.h"
 #include "core/leader/rights.h"
+#include "core/placement/autoscaler.h"
 
 namespace badgershore {
 namespace {
 
-constexpr int kMostInRental = 50;  // machines in one request to the cloud
+constexpr int kMaxInstancesPerScaleOut = 50;
+constexpr size_t kMaxInstancesPerScaleIn = 100;
+constexpr int kMaxUnknownOutcomes = 6;
+constexpr Micros kScaleInterval = Seconds(1);
+constexpr Micros kThrottledInterval = Seconds(2);
+constexpr Micros kRetryInterval = Seconds(1);
+constexpr Micros kLogInterval = Seconds(5);
+// A new leader scales nothing for so long while machines have not told what they run.
+constexpr Micros kMaxReconciliationWait = Seconds(3);
 
 }  // namespace
 
+Provisioner::Provisioner(const LeaderContext* context)
+    : Part(context), inventory_(context), machine_time_(context) {}
+
 void Provisioner::Tick(Micros now) {
-  if (!asking_types_ && now >= types_at_) AskTypes(now);
-  if (!listing_ && now >= list_at_) {
-    listing_ = true;
-    list_seen_.clear();
-    ListMachines(now, "");
-  }
-  // What is rented or given back past the lease is another leader's.
+  inventory_.Tick(now);
+  // Past the lease another leader may be scaling the fleet.
   if (!election()->MayStart(now)) return;
-  for (auto& [name, rent] : pending_) {
-    if (!rent.asking && now >= rent.retry_at) SendRent(now, name);
+  RetryScaleOuts(now);
+  if (now >= next_scale_at_ && types_known()) Scale(now);
+  if (!scale_in_in_flight_ && !scale_in_queue_.empty() && now >= next_scale_in_at_) SendScaleIn();
+}
+
+void Provisioner::RetryScaleOuts(Micros now) {
+  for (const auto& [request_name, request] : pending_scale_outs_) {
+    if (!request.in_flight && now >= request.retry_at) SendScaleOut(request_name);
   }
-  if (now >= scale_at_ && types_known()) Scale(now);
-  if (!returning_ && !return_queue_.empty() && now >= return_at_) SendReturns(now);
 }
 
-void Provisioner::AskTypes(Micros now) {
-  asking_types_ = true;
-  (void)now;
-  asker()->Cloud(CloudRequest{}, Guarded([this](Micros t, CloudResponse& r) {
-                   asking_types_ = false;
-                   types_at_ = t + (r.ok() ? Seconds(30) : Seconds(2));
-                   if (!r.ok()) return;
-                   bool changed = !types_known();
-                   std::map<std::string, MachineType> found;
-                   for (const MachineType& type : r.types) {
-                     found[type.name] = type;
-                     auto it = types().find(type.name);
-                     if (it == types().end()) {
-                       changed = true;
-                       continue;
-                     }
-                     // Prices move all the time; they are followed here and not written again.
-                     MachineType same = it->second;
-                     same.price = type.price;
-                     same.spot_price = type.spot_price;
-                     if (same == type) {
-                       it->second = type;
-                     } else {
-                       changed = true;
-                     }
-                   }
-                   recorder().KeepTypes(std::move(found), changed);
-                 }));
+void Provisioner::Scale(Micros now) {
+  next_scale_at_ = now + kScaleInterval;
+  if (!machine_table().unresolved().empty() && now - began() < kMaxReconciliationWait) return;
+  Apply(now, scaler().Decide(TakeSnapshot(now)));
+  machine_time_.Update(now);
+  if (now < next_log_at_) return;
+  machine_time_.Log();
+  next_log_at_ = now + kLogInterval;
+  LogFleet();
 }
 
-void Provisioner::ListMachines(Micros now, const std::string& after) {
-  (void)now;
-  CloudRequest op;
-  op.kind = CloudRequest::Kind::kListInstances;
-  op.start_after = after;
-  asker()->Cloud(
-      op, Guarded([this](Micros t, CloudResponse& r) {
-        listing_ = false;
-        list_at_ = t + Seconds(2);
-        if (!r.ok()) return;
-        for (const CloudInstance& l : r.instances) {
-          list_seen_.insert(l.id);
-          Listed(t, l);
-        }
-        if (r.has_more && !r.instances.empty()) {
-          listing_ = true;
-          return ListMachines(t, r.instances.back().id);
-        }
-        // Once listed, a machine stays listed until it is gone; but a list may be older than the
-        // one before, so an absence counts only after a while.
-        for (auto& [id, m] : machine_table().machines()) {
-          if (!m->listed_by_cloud || m->stage == MachineStage::kTerminating) continue;
-          if (list_seen_.count(id)) {
-            m->missing_since = {-1};
-          } else if (m->missing_since.count < 0) {
-            m->missing_since = t;
-          } else if (t - m->missing_since > settings().cloud_list_lag.Scaled(2) + Seconds(4) &&
-                     t - m->last_contact_at > options().silent_probe) {
-            machine_table().GiveBack(t, m.get(), "gone from the cloud's list");
-          }
-        }
-      }));
+ScalingSnapshot Provisioner::TakeSnapshot(Micros now) const {
+  ScalingSnapshot snapshot;
+  snapshot.now = now;
+  snapshot.term_began_at = began();
+  snapshot.machine_types = &types();
+  snapshot.zones = &settings().zones;
+  snapshot.objectives = &settings().objectives;
+  snapshot.team_cpu_limit = [this](int team) {
+    const int64_t cpu = occupancy().Limit(team).cpu;
+    return cpu < limits::kUnlimited ? cpu : INT64_MAX;
+  };
+  snapshot.total_cpu_limit = TotalCpuLimit(snapshot);
+  snapshot.gang_cpu_headroom = [this](int team, Priority priority) {
+    return occupancy().FirmRoom(team, priority);
+  };
+  snapshot.team_index = [this](const std::string& name) { return occupancy().TeamOf(name); };
+  for (auto& [id, machine] : machine_table().machines()) snapshot.machines.push_back(machine.get());
+  for (auto& [id, job] : job_table().jobs()) snapshot.jobs.push_back(job.get());
+  for (const auto& [request_name, request] : pending_scale_outs_) {
+    if (!types().contains(request.offer.type)) continue;
+    snapshot.pending_scale_out[request.offer] += request.count;
+  }
+  return snapshot;
 }
 
-void Provisioner::Listed(Micros now, const CloudInstance& l) {
-  if (machine_table().Buried(l.id)) {
-    // Given back long ago and still there: once more.
-    if (machine_table().RisesAgain(now, l.id)) return_queue_.push_back(l.id);
-    return;
+int64_t Provisioner::TotalCpuLimit(const ScalingSnapshot& snapshot) const {
+  int64_t total = 0;
+  for (size_t team = 0; team < settings().teams.size(); ++team) {
+    const int64_t limit = snapshot.team_cpu_limit(static_cast<int>(team));
+    if (limit == INT64_MAX) return INT64_MAX;
+    total += limit;
   }
-  Machine* m = machine_table().Find(l.id);
-  if (!m) {
-    m = machine_table().Adopt(now, l.id, l.endpoint, l.type, l.zone, l.spot);
-    m->rented_at = now - l.age;
+  return total;
+}
+
+void Provisioner::Apply(Micros now, const ScalingDecision& decision) {
+  for (Machine* m : decision.undrain) m->draining = false;
+  for (Machine* m : decision.drain) Drain(now, m);
+  for (Machine* m : decision.release) {
+    if (m->allocations.empty() && m->queue.empty()) machine_table().GiveBack(now, m, "idle");
   }
-  if (!m->listed_by_cloud) {
-    m->listed_by_cloud = true;
-    m->rented_at = std::min(m->rented_at, now - l.age);
-    if (m->endpoint.empty()) m->endpoint = l.endpoint;
+  for (const ScaleOutRequest& request : decision.scale_out) {
+    ScaleOut(now, request.offer, request.count);
   }
-  if (l.phase == CloudInstance::Phase::kFailed)
-    machine_table().GiveBack(now, m, "failed, says the cloud");
 }
 
-void Provisioner::Rent(Micros now, const InstanceOffer& offer, int count) {
-  for (; count > kMostInRental; count -= kMostInRental) Rent(now, offer, kMostInRental);
-  // A name is never used twice: the term is this leader's alone.
-  const std::string name =
-      "t" + std::to_string(election()->term()) + "-" + std::to_string(++rents_);
-  pending_[name] = PendingRent{offer, count, 0, false, now};
-  asker()->Info("renting " + std::to_string(count) + " " + offer.type +
-                (offer.spot ? " (spot)" : "") + " in " + offer.zone + " as " + name);
-  SendRent(now, name);
+void Provisioner::Drain(Micros now, Machine* machine) {
+  asker()->Debug("scale in: draining " + machine->id);
+  machine->draining = true;
+  dispatch().Unbind(machine);
+  StopServices(now, machine);
+  if (machine->allocations.empty() && machine->idle_since.count < 0) machine->idle_since = now;
 }
 
-void Provisioner::SendRent(Micros now, const std::string& name) {
-  (void)now;
-  PendingRent& rent = pending_.at(name);
-  rent.asking = true;
-  CloudRequest op;
-  op.kind = CloudRequest::Kind::kScaleOut;
-  op.request_name = name;
-  op.type = rent.offer.type;
-  op.zone = rent.offer.zone;
-  op.spot = rent.offer.spot;
-  op.count = rent.count;
-  op.valid_until = election()->lease_until();
-  asker()->Cloud(op, Guarded([this, name](Micros t, CloudResponse& r) {
-                   auto it = pending_.find(name);
-                   if (it == pending_.end()) return;
-                   PendingRent& p = it->second;
-                   p.asking = false;
-                   if (r.ok()) {
-                     for (const std::string& id : r.created) {
-                       if (machine_table().Buried(id)) continue;
-                       Machine* m = machine_table().Adopt(t, id, "", p.offer.type, p.offer.zone,
-                                                          p.offer.spot);
-                       m->rented_at = std::min(m->rented_at, t);
-                     }
-                     if (r.created.size() < static_cast<size_t>(p.count))
-                       scaler().RecordRefusal(p.offer, t);
-                     pending_.erase(it);
-                   } else if (r.outcome == CloudResponse::Outcome::kUnknown && ++p.tries < 6) {
-                     p.retry_at = t + Seconds(1);  // the same name: it may have been carried out
-                   } else {
-                     if (r.outcome == CloudResponse::Outcome::kNoCapacity)
-                       scaler().RecordRefusal(p.offer, t);
-                     if (r.outcome == CloudResponse::Outcome::kThrottled)
-                       scale_at_ = t + Seconds(2);
-                     pending_.erase(it);
-                   }
-                 }));
+// Replicas never end by themselves; they are started again elsewhere.
+void Provisioner::StopServices(Micros now, Machine* machine) {
+  bool any = false;
+  for (auto& [key, allocation] : machine->allocations) {
+    const Job* job = allocation.job;
+    if (!job || !job->IsService() || allocation.exited() || allocation.stop_requested) continue;
+    allocation.stop_requested = any = true;
+    allocation.grace_period = job->spec.checkpoint_duration;
+  }
+  if (any) machine_table().HaltNow(now, machine);
 }
 
-void Provisioner::Scale(Micros now) {
-  scale_at_ = now + Seconds(1);
-  // While what runs where is not known, the need isn't either.
-  if (!machine_table().unresolved().empty() && now - began() < Seconds(3)) return;
-  ScalingSnapshot view;
-  view.now = now;
-  view.term_began_at = began();
-  view.machine_types = &types();
-  view.zones = &settings().zones;
-  view.objectives = &settings().objectives;
-  view.team_cpu_limit = [this](int team) {
-    const int64_t cpu = occupancy().Limit(team).cpu;
-    return cpu < limits::kUnlimited ? cpu : INT64_MAX;
-  };
-  int64_t all_limits = 0;
-  for (size_t i = 0; i < settings().teams.size() && all_limits < INT64_MAX; ++i) {
-    const int64_t limit = view.team_cpu_limit(static_cast<int>(i));
-    all_limits = limit < INT64_MAX ? all_limits + limit : INT64_MAX;
-  }
-  view.total_cpu_limit = all_limits;
-  view.gang_cpu_headroom = [this](int team, Priority rank) {
-    return occupancy().FirmRoom(team, rank);
-  };
-  view.team_index = [this](const std::string& name) { return occupancy().TeamOf(name); };
-  for (auto& [id, m] : machine_table().machines()) view.machines.push_back(m.get());
-  for (auto& [id, job] : job_table().jobs()) view.jobs.push_back(job.get());
-  for (auto& [name, p] : pending_) {
-    if (types().count(p.offer.type)) view.pending_scale_out[p.offer] += p.count;
-  }
-  const ScalingDecision plan = scaler().Decide(view);
-  for (Machine* m : plan.undrain) m->draining = false;
-  for (Machine* m : plan.drain) {
-    asker()->Debug("retiring " + m->id);
-    m->draining = true;
-    dispatch().Unbind(m);
-    // Replicas end only when they are told to; they go on elsewhere.
-    bool any = false;
-    for (auto& [key, o] : m->allocations) {
-      if (!o.job || !o.job->IsService() || o.exited() || o.stop_requested) continue;
-      o.stop_requested = any = true;
-      o.grace_period = o.job->spec.checkpoint_duration;
-    }
-    if (any) machine_table().HaltNow(now, m);
-    if (m->allocations.empty() && m->idle_since.count < 0) m->idle_since = now;
+void Provisioner::LogFleet() const {
+  int booting = 0;
+  int up = 0;
+  for (auto& [id, m] : machine_table().machines()) {
+    booting += m->stage == MachineStage::kBooting;
+    up += m->stage == MachineStage::kUp;
   }
-  for (Machine* m : plan.release) {
-    if (m->allocations.empty() && m->queue.empty()) machine_table().GiveBack(now, m, "idle");
+  asker()->Debug("fleet: machines up " + std::to_string(up) + ", booting " +
+                 std::to_string(booting) + ", jobs " + std::to_string(job_table().jobs().size()) +
+                 "; " + scaler().Summary() + occupancy().Summary() + rights().Summary());
+}
+
+void Provisioner::ScaleOut(Micros now, const InstanceOffer& offer, int count) {
+  for (; count > kMaxInstancesPerScaleOut; count -= kMaxInstancesPerScaleOut) {
+    ScaleOut(now, offer, kMaxInstancesPerScaleOut);
   }
-  for (const ScaleOutRequest& r : plan.scale_out) Rent(now, r.offer, r.count);
-  CountPaid(now);
-  if (now >= log_at_) {
-    log_at_ = now + Seconds(5);
-    int booting = 0, up = 0;
-    for (auto& [id, m] : machine_table().machines()) {
-      booting += m->stage == MachineStage::kBooting;
-      up += m->stage == MachineStage::kUp;
-    }
-    asker()->Debug("machines up " + std::to_string(up) + " booting " + std::to_string(booting) +
-                   " jobs " + std::to_string(job_table().jobs().size()) + "; " +
-                   scaler().Summary() + occupancy().Summary() + rights().Summary());
+  // Unique for ever, since the term is this leader's alone.
+  const std::string request_name =
+      "t" + std::to_string(election()->term()) + "-" + std::to_string(++scale_out_requests_);
+  pending_scale_outs_[request_name] = PendingScaleOut{offer, count, 0, false, now};
+  asker()->Info("scale out: requesting " + std::to_string(count) + " " + offer.type +
+                (offer.spot ? " (spot)" : "") + " in " + offer.zone + " as " + request_name);
+  SendScaleOut(request_name);
+}
+
+void Provisioner::SendScaleOut(const std::string& request_name) {
+  PendingScaleOut& pending = pending_scale_outs_.at(request_name);
+  pending.in_flight = true;
+  CloudRequest request;
+  request.kind = CloudRequest::Kind::kScaleOut;
+  request.request_name = request_name;
+  request.type = pending.offer.type;
+  request.zone = pending.offer.zone;
+  request.spot = pending.offer.spot;
+  request.count = pending.count;
+  request.valid_until = election()->lease_until();
+  asker()->Cloud(request, Guarded([this, request_name](Micros now, CloudResponse& response) {
+                   OnScaleOutResponse(now, request_name, response);
+                 }));
+}
+
+void Provisioner::OnScaleOutResponse(Micros now, const std::string& request_name,
+                                     const CloudResponse& response) {
+  using Outcome = CloudResponse::Outcome;
+  const auto it = pending_scale_outs_.find(request_name);
+  if (it == pending_scale_outs_.end()) return;
+  PendingScaleOut& request = it->second;
+  request.in_flight = false;
+  if (response.ok()) {
+    OnScaledOut(now, request, response);
+  } else if (response.outcome == Outcome::kUnknown &&
+             ++request.unknown_outcomes < kMaxUnknownOutcomes) {
+    // Under the same name, since it may have been carried out.
+    request.retry_at = now + kRetryInterval;
+    return;
   }
+  if (response.outcome == Outcome::kNoCapacity) scaler().RecordRefusal(request.offer, now);
+  if (response.outcome == Outcome::kThrottled) next_scale_at_ = now + kThrottledInterval;
+  pending_scale_outs_.erase(it);
 }
 
-void Provisioner::CountPaid(Micros now) {
-  const double dt = paid_at_.count == 0 ? 0 : (now - paid_at_).ToSeconds();
-  paid_at_ = now;
-  bool work_waits = false;
-  for (auto& [id, job] : job_table().jobs()) work_waits |= job->queued > 0 || !job->waiting.empty();
-  for (auto& [id, m] : machine_table().machines()) {
-    if (!m->type || m->type->size.cpu == 0) continue;
-    Paid& p = paid_[InstanceOffer{m->type_name, "", m->spot}];
-    p.held += dt;
-    if (m->stage == MachineStage::kBooting) {
-      p.boot += dt;
-      continue;
-    }
-    if (!work_waits) {
-      p.short_of_work += dt * static_cast<double>((m->type->size - m->Used()).cpu) /
-                         static_cast<double>(m->type->size.cpu);
-    }
-    for (auto& [key, o] : m->allocations) {
-      const double share =
-          static_cast<double>(o.need.cpu) / static_cast<double>(m->type->size.cpu) * dt;
-      if (o.phase == TaskPhase::kRunning) p.used += share;
-      if (o.phase == TaskPhase::kFetchingImage || o.phase == TaskPhase::kStartSent)
-        p.fetching += share;
-    }
+void Provisioner::OnScaledOut(Micros now, const PendingScaleOut& request,
+                              const CloudResponse& response) {
+  const InstanceOffer& offer = request.offer;
+  for (const std::string& id : response.created) {
+    if (machine_table().Buried(id)) continue;
+    Machine* machine = machine_table().Adopt(now, id, "", offer.type, offer.zone, offer.spot);
+    machine->rented_at = std::min(machine->rented_at, now);
   }
-  if (now < log_at_) return;
-  for (const auto& [offer, p] : paid_) {
-    if (p.held <= 0) continue;
-    const auto percent = [held = p.held](double part) {
-      return std::to_string(static_cast<int>(100 * part / held)) + "%";
-    };
-    asker()->Debug("paid " + offer.type + (offer.spot ? " (spot) " : " ") +
-                   std::to_string(static_cast<int>(p.held)) + " s: boot " + percent(p.boot) +
-                   ", run " + percent(p.used) + ", fetch " + percent(p.fetching) + ", no work " +
-                   percent(p.short_of_work));
+  if (response.created.size() < static_cast<size_t>(request.count)) {
+    scaler().RecordRefusal(offer, now);
   }
 }
 
-void Provisioner::SendReturns(Micros now) {
-  (void)now;
-  returning_ = true;
-  CloudRequest op;
-  op.kind = CloudRequest::Kind::kScaleIn;
-  op.valid_until = election()->lease_until();
-  const size_t n = std::min<size_t>(return_queue_.size(), 100);
-  op.machines.assign(return_queue_.begin(), return_queue_.begin() + static_cast<long>(n));
-  return_queue_.erase(return_queue_.begin(), return_queue_.begin() + static_cast<long>(n));
-  asker()->Cloud(op, Guarded([this, names = op.machines](Micros t, CloudResponse& r) {
-                   returning_ = false;
-                   if (!r.ok()) {
-                     return_at_ = t + Seconds(1);
-                     return_queue_.insert(return_queue_.end(), names.begin(), names.end());
-                     return;
-                   }
-                   // The cloud's word is the proof that the machines and all on them are gone.
-                   for (const std::string& id : names) machine_table().Remove(t, id);
+void Provisioner::SendScaleIn() {
+  scale_in_in_flight_ = true;
+  CloudRequest request;
+  request.kind = CloudRequest::Kind::kScaleIn;
+  request.valid_until = election()->lease_until();
+  const size_t count = std::min(scale_in_queue_.size(), kMaxInstancesPerScaleIn);
+  const auto end = scale_in_queue_.begin() + static_cast<long>(count);
+  request.machines.assign(scale_in_queue_.begin(), end);
+  scale_in_queue_.erase(scale_in_queue_.begin(), end);
+  asker()->Cloud(request,
+                 Guarded([this, machines = request.machines](Micros now, CloudResponse& response) {
+                   OnScaleInResponse(now, machines, response);
                  }));
 }
 
+void Provisioner::OnScaleInResponse(Micros now, const std::vector<std::string>& machines,
+                                    const CloudResponse& response) {
+  scale_in_in_flight_ = false;
+  if (!response.ok()) {
+    next_scale_in_at_ = now + kRetryInterval;
+    scale_in_queue_.insert(scale_in_queue_.end(), machines.begin(), machines.end());
+    return;
+  }
+  // The cloud's confirmation proves that the machines and all tasks on them are gone.
+  for (const std::string& id : machines) machine_table().Remove(now, id);
+}
+
 }  // namespace badgershore
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -1,55 +1,62 @@
-// Dealings with the cloud: types, the list, renting and returning.
+// Carries out the autoscaler's decisions: scales the fleet out and in through the cloud.
 #pragma once
 
 #include <map>
 #include <string>
-#include <unordered_set>
 #include <vector>
 
+#include "core/leader/cloud_inventory.h"
+#include "core/leader/machine_time_accounting.h"
 #include "core/leader/part.h"
 #include "core/model/fleet.h"
-#include "core/placement/autoscaler.h"
+#include "core/placement/scaling_types.h"
 
 namespace badgershore {
 
 class Provisioner : public Part {
  public:
-  using Part::Part;
+  explicit Provisioner(const LeaderContext* context);
 
+  // Sends the requests that are due and, once a second, takes and carries out a decision.
   void Tick(Micros now);
-  void Return(const std::string& machine) { return_queue_.push_back(machine); }
+  // Queues the instance for the next scale-in request; retried until the cloud confirms it.
+  void RequestScaleIn(const std::string& machine) { scale_in_queue_.push_back(machine); }
 
  private:
-  struct PendingRent {
+  struct PendingScaleOut {
     InstanceOffer offer;
     int count = 0;
-    int tries = 0;
-    bool asking = false;
+    int unknown_outcomes = 0;
+    bool in_flight = false;
     Micros retry_at;
   };
-  // What was paid for in this term, in machine seconds, for the log.
-  struct Paid {
-    double held = 0, boot = 0, used = 0, fetching = 0, short_of_work = 0;
-  };
-  void ListMachines(Micros now, const std::string& after);
-  void Listed(Micros now, const CloudInstance& l);
-  void AskTypes(Micros now);
-  void Rent(Micros now, const InstanceOffer& offer, int count);
-  void SendRent(Micros now, const std::string& name);
+
+  void RetryScaleOuts(Micros now);
   void Scale(Micros now);
-  void CountPaid(Micros now);
-  void SendReturns(Micros now);
-
-  bool listing_ = false, asking_types_ = false;
-  Micros list_at_, types_at_, scale_at_, log_at_;
-  uint64_t rents_ = 0;
-  std::map<std::string, PendingRent> pending_;
-  std::unordered_set<std::string> list_seen_;
-  std::vector<std::string> return_queue_;
-  bool returning_ = false;
-  Micros return_at_;
-  std::map<InstanceOffer, Paid> paid_;
-  Micros paid_at_;
+  ScalingSnapshot TakeSnapshot(Micros now) const;
+  int64_t TotalCpuLimit(const ScalingSnapshot& snapshot) const;
+  void Apply(Micros now, const ScalingDecision& decision);
+  void Drain(Micros now, Machine* machine);
+  void StopServices(Micros now, Machine* machine);
+  void LogFleet() const;
+
+  void ScaleOut(Micros now, const InstanceOffer& offer, int count);
+  void SendScaleOut(const std::string& request_name);
+  void OnScaleOutResponse(Micros now, const std::string& request_name,
+                          const CloudResponse& response);
+  void OnScaledOut(Micros now, const PendingScaleOut& request, const CloudResponse& response);
+  void SendScaleIn();
+  void OnScaleInResponse(Micros now, const std::vector<std::string>& machines,
+                         const CloudResponse& response);
+
+  CloudInventory inventory_;
+  MachineTimeAccounting machine_time_;
+  Micros next_scale_at_, next_log_at_;
+  uint64_t scale_out_requests_ = 0;                            // so many were named in this term
+  std::map<std::string, PendingScaleOut> pending_scale_outs_;  // by request name
+  std::vector<std::string> scale_in_queue_;
+  bool scale_in_in_flight_ = false;
+  Micros next_scale_in_at_;
 };
 
 }  // namespace badgershore
