--- a/src/core/leader/recorder.cpp
+++ b/src/core/leader/recorder.cpp
@@ -35,8 +35,8 @@
 struct Recorder::Batch {
   std::vector<std::string> finish;
   struct Piece {
-    Pages* pages;
-    Pages::Page* page;
+    PagedRecords* pages;
+    PagedRecords::Page* page;
     bool erased = false, urgent = false;
     std::vector<std::string> machines;
     std::vector<std::pair<std::string, int>> tasks;  // done, and durable with this page
@@ -55,24 +55,25 @@
 
 void Recorder::Load(Micros now, const Entry& e) {
   if (const auto* progress = std::get_if<ProgressPage>(&e.value)) {
-    Pages::Page* page = progress_pages_.Adopt(e.key, e.version);
+    PagedRecords::Page* page = progress_pages_.AddExisting(e.key, e.version);
     for (const ProgressChunk& p : progress->chunks) LoadPiece(now, page, p);
   } else if (const auto* fleet = std::get_if<FleetPage>(&e.value)) {
-    Pages::Page* page = fleet_pages_.Adopt(e.key, e.version);
+    PagedRecords::Page* page = fleet_pages_.AddExisting(e.key, e.version);
     for (const MachineRecord& r : fleet->machines) {
-      fleet_pages_.Hold(page, r.id, MachineBytes(r));
+      fleet_pages_.AddItem(page, r.id, MachineBytes(r));
       machine_table().Load(now, r);
     }
   }
 }
 
-void Recorder::LoadPiece(Micros now, Pages::Page* page, const ProgressChunk& piece) {
+void Recorder::LoadPiece(Micros now, PagedRecords::Page* page, const ProgressChunk& piece) {
   auto it = job_table().jobs().find(piece.job);
   Job* job = it == job_table().jobs().end() ? nullptr : it->second.get();
   if (!job || piece.chunk < 0 || static_cast<size_t>(piece.chunk) >= job->progress_pages.size()) {
-    return progress_pages_.Touch(page, false, now);  // its job is over
+    return progress_pages_.MarkDirty(page, false, now);  // its job is over
   }
-  progress_pages_.Hold(page, ProgressItem(piece.job, piece.chunk), PieceBytes(*job, piece.chunk));
+  progress_pages_.AddItem(page, ProgressItem(piece.job, piece.chunk),
+                          PieceBytes(*job, piece.chunk));
   job->progress_pages[static_cast<size_t>(piece.chunk)] = page;
   DecodeProgress(piece.bits, piece.chunk, kChunkTasks, job->spec.tasks, [&](int task) {
     TaskState& t = job->tasks[static_cast<size_t>(task)];
@@ -84,26 +85,28 @@
 
 void Recorder::Keep(Micros now, Machine* m) {
   if (std::exchange(m->durable_write_pending, true)) return;
-  fleet_pages_.Put(m->id, MachineBytes(RecordOf(*m)), true, now);
+  fleet_pages_.PutItem(m->id, MachineBytes(RecordOf(*m)), true, now);
 }
 
-void Recorder::Left(Micros now, const std::string& machine) { fleet_pages_.Drop(machine, now); }
+void Recorder::Left(Micros now, const std::string& machine) {
+  fleet_pages_.RemoveItem(machine, now);
+}
 
 void Recorder::Progressed(Micros now, Job* job, int task) {
   const int chunk = task / kChunkTasks;
-  Pages::Page*& page = job->progress_pages[static_cast<size_t>(chunk)];
+  PagedRecords::Page*& page = job->progress_pages[static_cast<size_t>(chunk)];
   if (page) {
-    progress_pages_.Touch(page, false, now);
+    progress_pages_.MarkDirty(page, false, now);
   } else {
-    page =
-        progress_pages_.Put(ProgressItem(job->spec.id, chunk), PieceBytes(*job, chunk), false, now);
+    page = progress_pages_.PutItem(ProgressItem(job->spec.id, chunk), PieceBytes(*job, chunk),
+                                   false, now);
   }
 }
 
 void Recorder::Over(Micros now, const Job& job) {
   for (size_t c = 0; c < job.progress_pages.size(); ++c) {
     if (job.progress_pages[c])
-      progress_pages_.Drop(ProgressItem(job.spec.id, static_cast<int>(c)), now);
+      progress_pages_.RemoveItem(ProgressItem(job.spec.id, static_cast<int>(c)), now);
   }
 }
 
@@ -112,7 +115,7 @@
   types_dirty_ = changed;
 }
 
-Record Recorder::PageValue(const Pages* pages, const Pages::Page& page) const {
+Record Recorder::PageValue(const PagedRecords* pages, const PagedRecords::Page& page) const {
   if (pages == &fleet_pages_) {
     FleetPage value;
     for (const std::string& id : page.items) {
@@ -133,7 +136,7 @@
   return value;
 }
 
-void Recorder::AddPage(Micros now, Pages* pages, Pages::Page* page, StateRequest* op,
+void Recorder::AddPage(Micros now, PagedRecords* pages, PagedRecords::Page* page, StateRequest* op,
                        Batch* batch) {
   Batch::Piece piece{pages, page, page->items.empty(), page->urgent, {}, {}};
   for (const std::string& item : page->items) {
@@ -154,13 +157,13 @@
     }
   }
   // The page's own version is guarded, so that a late older write can't undo a newer one.
-  op->preconditions.push_back({page->key, page->stamp});
+  op->preconditions.push_back({page->key, page->version});
   if (page->items.empty()) {
     op->mutations.push_back({page->key, true, {}, 0});
   } else {
     op->mutations.push_back({page->key, false, PageValue(pages, *page), 0});
   }
-  pages->Sent(page);
+  pages->OnSent(page);
   batch->pieces.push_back(std::move(piece));
   if (pages == &fleet_pages_) fleet_at_ = now + kFleetPause;
 }
@@ -198,7 +201,7 @@
   // What blocks a start or an answer goes first, and the rest leaves it something.
   const bool plenty = write_tokens_ >= rate * 0.5;
   while ((plenty || now >= fleet_at_) && room(1)) {
-    Pages::Page* page = fleet_pages_.Next(true, now, {});
+    PagedRecords::Page* page = fleet_pages_.NextToWrite(true, now, {});
     if (!page) break;
     AddPage(now, &fleet_pages_, page, &op, batch.get());
   }
@@ -214,9 +217,9 @@
     op.mutations.push_back({keys::kJob + id, true, {}, 0});
     batch->finish.push_back(id);
   }
-  for (Pages* pages : {&progress_pages_, &fleet_pages_}) {
+  for (PagedRecords* pages : {&progress_pages_, &fleet_pages_}) {
     while (room(1) && write_tokens_ >= static_cast<double>(op.mutations.size()) + kKeepForUrgent) {
-      Pages::Page* page = pages->Next(false, now, kPagePatience);
+      PagedRecords::Page* page = pages->NextToWrite(false, now, kPagePatience);
       if (!page) break;
       AddPage(now, pages, page, &op, batch.get());
     }
@@ -232,7 +235,7 @@
   writing_ = false;
   if (r.ok()) {
     for (const Batch::Piece& piece : batch->pieces) {
-      piece.pages->Written(piece.page, piece.erased ? 0 : r.revision);
+      piece.pages->OnWritten(piece.page, piece.erased ? 0 : r.revision);
       for (const std::string& id : piece.machines) {
         Machine* m = machine_table().Find(id);
         if (!m) continue;
@@ -281,24 +284,24 @@
   for (const Batch::Piece& piece : batch->pieces) {
     const bool again = sound(piece.page->key);
     if (piece.pages == &fleet_pages_) fleet_at_ = now;  // it has still to be written
-    piece.pages->Failed(piece.page, !again, piece.urgent || !conflict, now);
+    piece.pages->OnFailed(piece.page, !again, piece.urgent || !conflict, now);
     if (!again) LookAtPage(piece.pages, piece.page);
   }
   if (conflict && !failed.empty()) Write(now);
 }
 
-void Recorder::LookAtPage(Pages* pages, Pages::Page* page) {
+void Recorder::LookAtPage(PagedRecords* pages, PagedRecords::Page* page) {
   StateRequest get;
   get.key = page->key;
   asker()->State(get, Guarded([pages, page](Micros t, StateResponse& g) {
                    if (g.ok() && !g.entries.empty()) {
-                     page->stamp = g.entries[0].version;
+                     page->version = g.entries[0].version;
                    } else if (g.outcome == StateResponse::Outcome::kNotFound) {
-                     page->stamp = 0;
+                     page->version = 0;
                    }
                    // Not known still: the guard fails if it has changed, and it is looked at again.
-                   page->unsure = false;
-                   pages->Touch(page, true, t);
+                   page->version_unknown = false;
+                   pages->MarkDirty(page, true, t);
                  }));
 }
 
--- a/src/core/leader/recorder.h
+++ b/src/core/leader/recorder.h
@@ -10,7 +10,7 @@
 #include "core/leader/part.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
-#include "core/model/pages.h"
+#include "core/model/paged_records.h"
 
 namespace badgershore {
 
@@ -32,13 +32,14 @@
 
  private:
   struct Batch;
-  void LoadPiece(Micros now, Pages::Page* page, const ProgressChunk& piece);
-  void AddPage(Micros now, Pages* pages, Pages::Page* page, StateRequest* op, Batch* batch);
-  Record PageValue(const Pages* pages, const Pages::Page& page) const;
+  void LoadPiece(Micros now, PagedRecords::Page* page, const ProgressChunk& piece);
+  void AddPage(Micros now, PagedRecords* pages, PagedRecords::Page* page, StateRequest* op,
+               Batch* batch);
+  Record PageValue(const PagedRecords* pages, const PagedRecords::Page& page) const;
   void Written(Micros now, const std::shared_ptr<Batch>& batch, StateResponse& r);
-  void LookAtPage(Pages* pages, Pages::Page* page);
+  void LookAtPage(PagedRecords* pages, PagedRecords::Page* page);
 
-  Pages fleet_pages_, progress_pages_;
+  PagedRecords fleet_pages_, progress_pages_;
   bool writing_ = false;
   Micros write_at_;
   double write_tokens_ = 0;
--- a/src/core/model/jobs.h
+++ b/src/core/model/jobs.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/model/pages.h"
+#include "core/model/paged_records.h"
 #include "core/model/types.h"
 
 namespace badgershore {
@@ -68,7 +68,7 @@
   Micros backoff_until;                 // gangs: no new attempt before
 
   // Where the progress of each chunk of tasks is kept; null before any is done.
-  std::vector<Pages::Page*> progress_pages;
+  std::vector<PagedRecords::Page*> progress_pages;
   int failures = 0;
   std::vector<std::string> failed_machines;  // distinct machines, a few
   // While it is at fault: so many tasks at a time, the next not before.
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -65,47 +65,47 @@
   EXPECT_DOUBLE_EQ(fresh.dispatched_work[0], 3.0);
 }
 
-TEST(Pages, ManyItemsCostOneChange) {
-  Pages pages("fleet/", 100);
+TEST(PagedRecords, ManyItemsCostOneChange) {
+  PagedRecords pages("fleet/", 100);
   const Micros t = Seconds(1);
-  Pages::Page* first = pages.Put("n-1", 40, true, t);
-  EXPECT_EQ(pages.Put("n-2", 40, true, t), first);
-  Pages::Page* second = pages.Put("n-3", 40, true, t);  // no room for it in the first
+  PagedRecords::Page* first = pages.PutItem("n-1", 40, true, t);
+  EXPECT_EQ(pages.PutItem("n-2", 40, true, t), first);
+  PagedRecords::Page* second = pages.PutItem("n-3", 40, true, t);  // no room for it in the first
   EXPECT_NE(second, first);
   EXPECT_NE(second->key, first->key);
-  EXPECT_EQ(pages.Next(true, t, {}), first);
-  pages.Sent(first);
-  EXPECT_EQ(pages.Next(true, t, {}), second);
+  EXPECT_EQ(pages.NextToWrite(true, t, {}), first);
+  pages.OnSent(first);
+  EXPECT_EQ(pages.NextToWrite(true, t, {}), second);
   // What changes while a page is on its way makes it dirty again.
-  pages.Drop("n-1", t);
-  pages.Written(first, 7);
-  EXPECT_EQ(pages.Next(false, t + Seconds(1), Seconds(2)), nullptr);
-  EXPECT_EQ(pages.Next(false, t + Seconds(2), Seconds(2)), first);
-  pages.Sent(second);
-  pages.Written(second, 8);
+  pages.RemoveItem("n-1", t);
+  pages.OnWritten(first, 7);
+  EXPECT_EQ(pages.NextToWrite(false, t + Seconds(1), Seconds(2)), nullptr);
+  EXPECT_EQ(pages.NextToWrite(false, t + Seconds(2), Seconds(2)), first);
+  pages.OnSent(second);
+  pages.OnWritten(second, 8);
   // The room is used again.
-  EXPECT_EQ(pages.Put("n-4", 40, true, t), first);
+  EXPECT_EQ(pages.PutItem("n-4", 40, true, t), first);
 }
 
 // A write without an answer may have been carried out, or may yet be: until its version is known
 // the page is left alone, or the next write's guard would fail for ever.
-TEST(Pages, AreReadAgainAfterAWriteWithoutAnAnswer) {
-  Pages pages("prog/", 100);
-  Pages::Page* page = pages.Put("job-1/0", 40, false, Seconds(1));
-  pages.Sent(page);
-  pages.Failed(page, true, true, Seconds(2));
-  EXPECT_EQ(pages.Next(true, Seconds(9), {}), nullptr);
-  page->unsure = false;
-  EXPECT_EQ(pages.Next(true, Seconds(9), {}), page);
+TEST(PagedRecords, AreReadAgainAfterAWriteWithoutAnAnswer) {
+  PagedRecords pages("prog/", 100);
+  PagedRecords::Page* page = pages.PutItem("job-1/0", 40, false, Seconds(1));
+  pages.OnSent(page);
+  pages.OnFailed(page, true, true, Seconds(2));
+  EXPECT_EQ(pages.NextToWrite(true, Seconds(9), {}), nullptr);
+  page->version_unknown = false;
+  EXPECT_EQ(pages.NextToWrite(true, Seconds(9), {}), page);
 }
 
-TEST(Pages, ThatWereNeverWrittenNeedNoErasing) {
-  Pages pages("prog/", 100);
-  Pages::Page* page = pages.Put("job-1/0", 40, false, Seconds(1));
-  pages.Drop("job-1/0", Seconds(1));
-  EXPECT_EQ(pages.Next(false, Seconds(9), Seconds(1)), nullptr);
-  page->stamp = 3;
-  EXPECT_EQ(pages.Next(false, Seconds(9), Seconds(1)), page);
+TEST(PagedRecords, ThatWereNeverWrittenNeedNoErasing) {
+  PagedRecords pages("prog/", 100);
+  PagedRecords::Page* page = pages.PutItem("job-1/0", 40, false, Seconds(1));
+  pages.RemoveItem("job-1/0", Seconds(1));
+  EXPECT_EQ(pages.NextToWrite(false, Seconds(9), Seconds(1)), nullptr);
+  page->version = 3;
+  EXPECT_EQ(pages.NextToWrite(false, Seconds(9), Seconds(1)), page);
 }
 
 TEST(Progress, ComesBackChunkByChunk) {
