--- a/src/core/leader/checkins.cpp
+++ b/src/core/leader/checkins.cpp
@@ -3,7 +3,7 @@
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/recorder.h"
+#include "core/leader/record_writer.h"
 
 namespace badgershore {
 
@@ -38,10 +38,10 @@
   }
   machine_table().Resolve(now, m);
   if (!m->durable && authority().MayStart(now)) {
-    recorder().Keep(now, m);
+    record_writer().PersistMachine(now, m);
     m->pending_heartbeats.push_back(token);
     m->heartbeats_pending_since = now;
-    recorder().Write(now);
+    record_writer().WriteBatch(now);
     return Verdict::kLater;
   }
   AnswerHeld(now, m);  // of an earlier report, whose worker has given up waiting
@@ -51,7 +51,8 @@
     m->heartbeats_pending_since = now;
     return Verdict::kLater;
   }
-  if (recorder().finishing()) recorder().Write(now);  // its user is waiting to hear of it
+  if (record_writer().HasPendingJobEnds())
+    record_writer().WriteBatch(now);  // its user is waiting to hear of it
   return Verdict::kAnswer;
 }
 
--- a/src/core/leader/cloud_inventory.cpp
+++ b/src/core/leader/cloud_inventory.cpp
@@ -4,7 +4,7 @@
 
 #include "core/leader/machine_table.h"
 #include "core/leader/provisioner.h"
-#include "core/leader/recorder.h"
+#include "core/leader/record_writer.h"
 
 namespace badgershore {
 namespace {
@@ -55,7 +55,7 @@
       changed = true;
     }
   }
-  recorder().KeepTypes(std::move(reported), changed);
+  record_writer().PersistMachineTypes(std::move(reported), changed);
 }
 
 void CloudInventory::PollInstances(const std::string& start_after) {
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -3,7 +3,7 @@
 #include "core/leader/gangs.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
-#include "core/leader/recorder.h"
+#include "core/leader/record_writer.h"
 #include "core/leader/sharing.h"
 #include "core/placement/autoscaler.h"
 #include "core/placement/guardrails.h"
@@ -108,7 +108,7 @@
     occupancy().Disown(m.get(), job);
     if (m->held_for == job) m->held_for = nullptr;
   }
-  recorder().Over(now, *job);
+  record_writer().RemoveProgress(now, *job);
 }
 
 void JobTable::EndJob(Micros now, const std::string& id) {
@@ -161,7 +161,7 @@
     t.stage = TaskStage::kDone;
     ++job->done;
     job->progressed_at = now;
-    recorder().Progressed(now, job, i);
+    record_writer().PersistProgress(now, job, i);
   };
   if (job->IsService()) return;
   if (job->IsGang()) {
@@ -172,7 +172,7 @@
   }
   if (job->remaining() == 0 && !job->finishing) {
     job->finishing = true;
-    recorder().Finish(job->spec.id);
+    record_writer().PersistJobEnd(job->spec.id);
   }
 }
 
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -30,7 +30,7 @@
       machine_table_(&context_),
       dispatch_(&context_),
       gangs_(&context_),
-      recorder_(&context_, now),
+      record_writer_(&context_, now),
       provisioner_(&context_),
       rights_(&context_),
       checkins_(&context_),
@@ -45,7 +45,7 @@
   context_.machine_table = &machine_table_;
   context_.dispatch = &dispatch_;
   context_.gangs = &gangs_;
-  context_.recorder = &recorder_;
+  context_.record_writer = &record_writer_;
   context_.provisioner = &provisioner_;
   context_.rights = &rights_;
   context_.checkins = &checkins_;
@@ -81,7 +81,7 @@
     // Not at once: in an outage that would use up the node's requests, and its users' with them.
     if (!r.ok()) return load_again_.push_back({now + kLoadPause, prefix, after});
     for (const Entry& e : r.entries) {
-      recorder_.Load(now, e);
+      record_writer_.Load(now, e);
       rights_.Load(e);
     }
     if (r.has_more && !r.entries.empty()) return LoadPrefix(prefix, r.entries.back().key);
@@ -97,7 +97,7 @@
                        " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
                        std::to_string(machine_table_.machines().size()) + " machines on record");
   for (auto& [id, job] : job_table_.jobs()) {
-    if (job->remaining() == 0) recorder_.Finish(id);
+    if (job->remaining() == 0) record_writer_.PersistJobEnd(id);
   }
   AnswerEarly(now);
   Tick(now);  // which begins to ask the unresolved machines
@@ -164,7 +164,7 @@
   dispatch_.KeepForUnbegun(now);
   dispatch_.BindWaiting(now);
   checkins_.AnswerReady(now);
-  recorder_.Write(now);
+  record_writer_.WriteBatch(now);
   provisioner_.Tick(now);
   assert(CountFault().empty());
 }
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -17,7 +17,7 @@
 #include "core/leader/occupancy.h"
 #include "core/leader/part.h"
 #include "core/leader/provisioner.h"
-#include "core/leader/recorder.h"
+#include "core/leader/record_writer.h"
 #include "core/leader/rights.h"
 #include "core/leader/sharing.h"
 #include "core/leader/supervisor.h"
@@ -50,7 +50,7 @@
     job_table_.EndJob(now, job);
   }
   const Rights& rights() const { return rights_; }
-  bool recording() const { return recorder_.writing(); }
+  bool recording() const { return record_writer_.IsWriteInFlight(); }
   bool ready() const { return ready_; }
   bool Deaf(Micros now) const { return ready_ && machine_table_.Deaf(now); }
   std::string Explain(Micros now, const std::string& job) const {
@@ -89,7 +89,7 @@
   MachineTable machine_table_;
   Dispatch dispatch_;
   Gangs gangs_;
-  Recorder recorder_;
+  RecordWriter record_writer_;
   Provisioner provisioner_;
   Rights rights_;
   Checkins checkins_;
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -8,7 +8,7 @@
 #include "core/leader/job_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/provisioner.h"
-#include "core/leader/recorder.h"
+#include "core/leader/record_writer.h"
 #include "core/placement/guardrails.h"
 
 namespace badgershore {
@@ -112,7 +112,7 @@
   for (RequestId token : m->pending_heartbeats) {
     asker()->out.heartbeat_responses.push_back({token, 503, "", 0, {}});
   }
-  recorder().Left(now, id);
+  record_writer().RemoveMachine(now, id);
   tombstones_[id] = now;
   machines_.erase(it);
 }
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -22,7 +22,7 @@
 class Dispatch;
 class Gangs;
 class Occupancy;
-class Recorder;
+class RecordWriter;
 class Provisioner;
 class Rights;
 class MachineTable;
@@ -49,7 +49,7 @@
   Dispatch* dispatch = nullptr;
   Gangs* gangs = nullptr;
   Occupancy* occupancy = nullptr;
-  Recorder* recorder = nullptr;
+  RecordWriter* record_writer = nullptr;
   Provisioner* provisioner = nullptr;
   Rights* rights = nullptr;
   MachineTable* machine_table = nullptr;
@@ -81,7 +81,7 @@
   Dispatch& dispatch() const { return *context_->dispatch; }
   Gangs& gangs() const { return *context_->gangs; }
   Occupancy& occupancy() const { return *context_->occupancy; }
-  Recorder& recorder() const { return *context_->recorder; }
+  RecordWriter& record_writer() const { return *context_->record_writer; }
   Provisioner& provisioner() const { return *context_->provisioner; }
   Rights& rights() const { return *context_->rights; }
   MachineTable& machine_table() const { return *context_->machine_table; }
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -153,7 +153,7 @@
   for (int i = 0; i < 100; ++i) EXPECT_EQ(alone.TurnAway(now, "home"), 0);
 }
 
-TEST(Renting, KeepsRoomForWhatCameBeforeTheReign) {
+TEST(Autoscaler, KeepsRoomForArrivalsBeforeTheTerm) {
   const Options options;
   const std::vector<std::string> zones = {"a"};
   const std::vector<Objective> objectives;
@@ -165,26 +165,26 @@
   waiting.spec.deadline = Seconds(57);
   waiting.spec.allow_spot = true;
   waiting.submitted_at = Seconds(100);
-  const auto rented = [&](int earlier) {
+  const auto requested = [&](int earlier) {
     Autoscaler scaler(options);
     JobSpec spec = waiting.spec;
     spec.tasks = 40;
     for (int i = 0; i < earlier; ++i) {
       scaler.RecordUrgentArrival(spec, Seconds(27), Seconds(30), Seconds(4.0 * i), Seconds(100));
     }
-    ScalingSnapshot view;
-    view.now = Seconds(100);
-    view.machine_types = &types;
-    view.zones = &zones;
-    view.objectives = &objectives;
-    view.jobs = {&waiting};
+    ScalingSnapshot snapshot;
+    snapshot.now = Seconds(100);
+    snapshot.machine_types = &types;
+    snapshot.zones = &zones;
+    snapshot.objectives = &objectives;
+    snapshot.jobs = {&waiting};
     int count = 0;
-    for (const ScaleOutRequest& r : scaler.Decide(view).scale_out)
+    for (const ScaleOutRequest& r : scaler.Decide(snapshot).scale_out)
       count += r.offer.spot ? r.count : 0;
     return count;
   };
-  EXPECT_LE(rented(0), 1);
-  EXPECT_GE(rented(25), 40 * 25 * 30 / 100 / 4);  // at least the mean under way, four to a box
+  EXPECT_LE(requested(0), 1);
+  EXPECT_GE(requested(25), 40 * 25 * 30 / 100 / 4);  // at least the mean under way, four to a box
 }
 
 }  // namespace
