--- a/src/core/placement/autoscaler.cpp
+++ b/src/core/placement/autoscaler.cpp
@@ -47,9 +47,11 @@
 
   const double peak =
       required_capacity_.Update(shortfall.required, snapshot.now, demand.shortest_boot);
-  const double to_keep = std::max(peak, urgent_load_.Mean() * kUrgentLoadSlack);
-  ScaleInPlanner(snapshot, gangs_, meter, options_, decision)
-      .Plan(std::move(capacity), shortfall.urgent_reserve, to_keep, demand.running_cpu);
+  ScaleInLimits limits;
+  limits.urgent_reserve = shortfall.urgent_reserve;
+  limits.required_capacity = std::max(peak, urgent_load_.Mean() * kUrgentLoadSlack);
+  limits.running_cpu = demand.running_cpu;
+  ScaleInPlanner(snapshot, gangs_, meter, options_, decision).Plan(capacity, limits);
 }
 
 void Autoscaler::SummarizeArrays(const ArrayDemand& demand, const ArrayCapacity& capacity,
--- a/src/core/placement/scale_in.cpp
+++ b/src/core/placement/scale_in.cpp
@@ -25,18 +25,16 @@
   return peak_;
 }
 
-void ScaleInPlanner::Plan(ArrayCapacity capacity, double urgent_reserve, double required_capacity,
-                          double running_cpu) {
-  capacity_ = std::move(capacity);
-  urgent_reserve_ = urgent_reserve;
+void ScaleInPlanner::Plan(const ArrayCapacity& capacity, const ScaleInLimits& limits) {
+  limits_ = limits;
+  capacity_left_ = capacity.total;
+  cheap_capacity_left_ = capacity.cheap_total;
   removable_ = CountRemovable();
   for (Machine* m : snapshot_.machines) {
     if (!IsUsable(*m) || m->stage != MachineStage::kUp) continue;
     if (!decision_->reserved_for_gangs.contains(m)) ConsiderMachine(m);
   }
-  if (snapshot_.now - snapshot_.term_began_at > kTermSettleTime) {
-    Drain(required_capacity, running_cpu);
-  }
+  if (snapshot_.now - snapshot_.term_began_at > kTermSettleTime) Drain();
 }
 
 int ScaleInPlanner::CountRemovable() const {
@@ -69,7 +67,7 @@
   const double capacity = meter_.Of(*machine);
   const bool near_cheapest = !machine->draining && meter_.IsNearCheapest(*machine, capacity);
   // By idle time alone the cheap machines would go and the dear ones, which came later, stay.
-  if (near_cheapest && capacity_.cheap_total - capacity < urgent_reserve_) return true;
+  if (near_cheapest && cheap_capacity_left_ - capacity < limits_.urgent_reserve) return true;
   if (!machine->draining && removable_ <= 0) return true;
   const Micros idle_limit =
       machine->draining ? Seconds(0) : machine->type->boot.Scaled(options_.idle_boots);
@@ -78,13 +76,13 @@
   if (held_for_gangs || !idle_for_long || billed_anyway) return false;
   decision_->release.push_back(machine);
   removable_ -= !machine->draining;
-  if (near_cheapest) capacity_.cheap_total -= capacity;
+  if (near_cheapest) cheap_capacity_left_ -= capacity;
   return true;
 }
 
 // Drains the dearest machines, of equal ones those that will be empty soonest. One near the lowest
 // price stays while there is work for it, a dearer one only while work would be late without it.
-void ScaleInPlanner::Drain(double required_capacity, double running_cpu) {
+void ScaleInPlanner::Drain() {
   std::sort(candidates_.begin(), candidates_.end(), [](const Candidate& a, const Candidate& b) {
     return std::make_tuple(-a.unit_price, a.tasks, a.machine->id) <
            std::make_tuple(-b.unit_price, b.tasks, b.machine->id);
@@ -92,12 +90,12 @@
   for (const Candidate& candidate : candidates_) {
     if (removable_ <= 0) return;
     const double to_keep = meter_.IsNearCheapest(candidate.unit_price)
-                               ? std::max(required_capacity, running_cpu)
-                               : required_capacity;
-    if (capacity_.total - candidate.capacity < to_keep) continue;
+                               ? std::max(limits_.required_capacity, limits_.running_cpu)
+                               : limits_.required_capacity;
+    if (capacity_left_ - candidate.capacity < to_keep) continue;
     decision_->drain.push_back(candidate.machine);
     --removable_;
-    capacity_.total -= candidate.capacity;
+    capacity_left_ -= candidate.capacity;
   }
 }
 
--- a/src/core/placement/scale_in.h
+++ b/src/core/placement/scale_in.h
@@ -24,6 +24,13 @@
   Micros updated_at_;
 };
 
+// Capacity that scale-in has to leave, in thousandths of a CPU.
+struct ScaleInLimits {
+  double urgent_reserve = 0;     // of machines near the lowest price
+  double required_capacity = 0;  // of all machines
+  double running_cpu = 0;        // in use; machines near the lowest price stay while it needs them
+};
+
 class ScaleInPlanner {
  public:
   // All arguments must outlive this. Changes are added to `decision`, whose reserved machines stay.
@@ -35,10 +42,8 @@
         options_(options),
         decision_(decision) {}
 
-  // Releases and drains machines as long as `required_capacity` is left, and `running_cpu` of
-  // machines near the lowest price.
-  void Plan(ArrayCapacity capacity, double urgent_reserve, double required_capacity,
-            double running_cpu);
+  // `capacity`: after scale-out. Call it once.
+  void Plan(const ArrayCapacity& capacity, const ScaleInLimits& limits);
 
  private:
   struct Candidate {
@@ -51,15 +56,16 @@
   void ConsiderMachine(Machine* machine);
   bool IsHeldForGangs(const Machine& machine) const;
   bool DecideIdle(Machine* machine, bool held_for_gangs);
-  void Drain(double required_capacity, double running_cpu);
+  void Drain();
 
   const ScalingSnapshot& snapshot_;
   const GangForecast& gang_forecast_;
   const CapacityMeter& meter_;
   const Options& options_;
   ScalingDecision* decision_;
-  ArrayCapacity capacity_;
-  double urgent_reserve_ = 0;
+  ScaleInLimits limits_;
+  double capacity_left_ = 0;
+  double cheap_capacity_left_ = 0;
   int removable_ = 0;  // machines that may go, idle or not
   std::vector<Candidate> candidates_;
 };
