--- a/src/core/leader/machine_time_accounting.h
+++ b/src/core/leader/machine_time_accounting.h
@@ -9,6 +9,7 @@
 
 namespace badgershore {
 
+// Sums over the term. It only serves the log: no decision depends on it.
 class MachineTimeAccounting : public Part {
  public:
   using Part::Part;
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -13,6 +13,8 @@
 
 namespace badgershore {
 
+// Owns the requests to the cloud. A scale-out is retried under its name while its outcome is
+// unknown; nothing is sent past the leader's lease.
 class Provisioner : public Part {
  public:
   explicit Provisioner(const LeaderContext* context);
--- a/src/core/placement/array_capacity.h
+++ b/src/core/placement/array_capacity.h
@@ -22,6 +22,7 @@
   double Of(const Machine& machine) const;
   // Price of a machine per hour and unit of its capacity, which is positive.
   double UnitPrice(const Machine& machine, double capacity) const;
+  // Whether the price is about the lowest one for the typical job's tasks.
   bool IsNearCheapest(double unit_price) const;
   // Whether the offer, of this capacity, costs about the lowest price there is.
   bool IsNearCheapest(const InstanceOffer& offer, double capacity) const;
--- a/src/core/placement/array_scale_out.h
+++ b/src/core/placement/array_scale_out.h
@@ -9,6 +9,7 @@
 
 namespace badgershore {
 
+// Plans one decision.
 class ArrayScaleOutPlanner {
  public:
   // All arguments must outlive this. Changes are added to `decision`.
--- a/src/core/placement/autoscaler.h
+++ b/src/core/placement/autoscaler.h
@@ -15,6 +15,7 @@
 
 namespace badgershore {
 
+// One per term; a new leader rebuilds the forecasts from the jobs it reads.
 class Autoscaler {
  public:
   explicit Autoscaler(const Options& options) : options_(options), offers_(options) {}
@@ -31,6 +32,7 @@
   // arrival the job may start; ignored when it can wait for a boot, or is no array.
   void RecordUrgentArrival(const JobSpec& spec, Micros slack, Micros boot, Micros arrived,
                            Micros now);
+  // The same for a gang. Call RecordGangDemand() too.
   void RecordGangArrival(const JobSpec& spec, Micros at) { gangs_.RecordArrival(spec, at); }
   // A gang of this kind arrived or waits for machines.
   void RecordGangDemand(const JobSpec& spec, Micros now) { gangs_.RecordDemand(spec, now); }
--- a/src/core/placement/gang_forecast.h
+++ b/src/core/placement/gang_forecast.h
@@ -9,6 +9,7 @@
 
 namespace badgershore {
 
+// Remembers the latest gang of each job class and when gangs of the class arrived.
 class GangForecast {
  public:
   struct Arrival {
@@ -24,6 +25,7 @@
 
   // A gang of this kind arrived or waits for machines.
   void RecordDemand(const JobSpec& spec, Micros now);
+  // Called once for each gang, beside RecordDemand().
   void RecordArrival(const JobSpec& spec, Micros at);
 
   // Whether gangs seen of late need more than half of such a machine.
--- a/src/core/placement/scale_in.h
+++ b/src/core/placement/scale_in.h
@@ -31,6 +31,8 @@
   double running_cpu = 0;        // in use; machines near the lowest price stay while it needs them
 };
 
+// Plans one decision. Only machines that are up are released or drained, and none within its
+// minimum billed time.
 class ScaleInPlanner {
  public:
   // All arguments must outlive this. Changes are added to `decision`, whose reserved machines stay.
