--- a/src/core/frontend/controller.cpp
+++ b/src/core/frontend/controller.cpp
@@ -72,7 +72,7 @@
 }
 
 JobStatus Controller::DigestOf(const std::string& job) const {
-  if (leader_) return leader_->Digest(job);
+  if (leader_) return leader_->Status(job);
   auto it = digests_.find(job);
   return it == digests_.end() ? JobStatus{job, 0, 0} : it->second;
 }
@@ -212,7 +212,7 @@
 }
 
 void Controller::CallOff(Micros now, const std::string& job, bool recorded) {
-  if (leader_) return recorded ? leader_->CalledOff(now, job) : leader_->CallOff(now, job);
+  if (leader_) return recorded ? leader_->EndCancelledJob(now, job) : leader_->MarkCancelPending(now, job);
   PeerStatus note = NoteOf(now);
   (recorded ? note.cancelled : note.cancelling).push_back(job);
   asker_.out.peer_statuses.push_back(std::move(note));
@@ -234,7 +234,7 @@
   if (now >= note_at_) {
     note_at_ = now + Millis(500);
     PeerStatus note = NoteOf(now);
-    if (leader_) note.job_statuses = leader_->Digests();
+    if (leader_) note.job_statuses = leader_->Statuses();
     asker_.out.peer_statuses.push_back(std::move(note));
   }
   if (retiring_) Retire(now);
@@ -315,8 +315,8 @@
     former_.reset();
   }
   if (leader_) {
-    for (const std::string& job : note.cancelling) leader_->CallOff(now, job);
-    for (const std::string& job : note.cancelled) leader_->CalledOff(now, job);
+    for (const std::string& job : note.cancelling) leader_->MarkCancelPending(now, job);
+    for (const std::string& job : note.cancelled) leader_->EndCancelledJob(now, job);
   }
   peers_[note.from] = Peer{now, note};
   if (note.leader == note.from && note.term >= digest_term_) {
--- a/src/core/leader/checkins.cpp
+++ b/src/core/leader/checkins.cpp
@@ -157,7 +157,7 @@
   }
   if (!machine_table().Ready(*m, now)) return;
   dispatch().BindWaiting(now);
-  dispatch().StartFrom(now, m, orders);
+  dispatch().StartTasksOn(now, m, orders);
   if (!m->allocations.empty()) m->idle_since = {-1};
 }
 
--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -2,10 +2,10 @@
 #include "core/leader/dispatch.h"
 
 #include "core/leader/blame.h"
+#include "core/leader/fair_share.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
-#include "core/leader/sharing.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
@@ -26,8 +26,8 @@
   return first ? room - gang.spec.need.Times(m.reserved_members) : room;
 }
 
-void Dispatch::StartOne(Micros now, Machine* m, Job* job, int task, Resources* used,
-                        std::vector<Command>* orders) {
+void Dispatch::StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
+                         std::vector<Command>* orders) {
   --job->queued;
   if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;  // the room is taken
   const uint64_t attempt = occupancy().NextAttempt();
@@ -36,15 +36,15 @@
   orders->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
 }
 
-void Dispatch::StartFrom(Micros now, Machine* m, std::vector<Command>* orders) {
+void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders) {
   Resources used = m->Used();
   // A report's answer stays far below 64 KiB; the rest goes with the next one.
   while (orders->size() < 300) {
     // A full machine is the usual case when there is much to do: no look at every queue for it.
-    if (!job_table().least_need().Fits(m->type->size - used)) break;
-    if (TakePressing(now, m, &used, orders)) continue;
-    if (TakeQueued(now, m, &used, orders)) continue;
-    if (TakeRebound(now, m, &used, orders)) continue;
+    if (!job_table().smallest_need().Fits(m->type->size - used)) break;
+    if (StartPreferred(now, m, &used, orders)) continue;
+    if (StartQueued(now, m, &used, orders)) continue;
+    if (StartRebound(now, m, &used, orders)) continue;
     break;
   }
 }
@@ -52,7 +52,7 @@
 // Past the age limit the oldest goes first, and where more waits than there is room for, a large
 // old job would keep all others from beginning: the first task of one that has not begun goes
 // before.
-int Dispatch::Claim(Micros now, const Job& job) const {
+int Dispatch::StartPriority(Micros now, const Job& job) const {
   if (job.IsUnstarted(now, options().age_limit)) return 2;
   return job.IsAged(now, options().age_limit) ? 1 : 0;
 }
@@ -60,9 +60,9 @@
 // A task that needs much of a machine never finds it empty enough where small ones come all the
 // time. For one job of each team and kind of machine, the oldest that has not begun, a machine
 // leaves free what becomes free, until its first task is there.
-void Dispatch::KeepForUnbegun(Micros now) {
-  if (now < keep_at_) return;
-  keep_at_ = now + Seconds(1);
+void Dispatch::HoldMachinesForUnstartedJobs(Micros now) {
+  if (now < next_hold_at_) return;
+  next_hold_at_ = now + Seconds(1);
   std::map<int, Job*> oldest;  // by team
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
@@ -96,9 +96,9 @@
 
 // The machine's smallest waiting estimate that fits; higher ranks before lower ones, and what has
 // waited past the age limit before all, the oldest first.
-bool Dispatch::TakeQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   QueueEntry* best = nullptr;
-  int best_claim = 0;
+  int best_start_priority = 0;
   for (auto it = m->queue.begin(); it != m->queue.end();) {
     QueueEntry& entry = it->second;
     Job* job = entry.job;
@@ -115,30 +115,31 @@
       continue;
     }
     ++it;
-    const int claim = Claim(now, *job);
+    const int start_priority = StartPriority(now, *job);
     // The queue is in order of estimate, so among the others the first that fits stays.
-    const int before = best ? sharing().Before(*job, *best->job) : 1;
+    const int before = best ? fair_share().ComparePrecedence(*job, *best->job) : 1;
     const bool better =
         before > 0 ||
-        (before == 0 && (claim > best_claim || (claim > 0 && claim == best_claim &&
-                                                job->submitted_at < best->job->submitted_at)));
+        (before == 0 && (start_priority > best_start_priority ||
+                         (start_priority > 0 && start_priority == best_start_priority &&
+                          job->submitted_at < best->job->submitted_at)));
     if (!better || !occupancy().LimitAllows(*job, 1)) continue;
     if (!job->spec.need.Fits(RoomFor(*m, *job, *used, now)) || machine_table().Held(*job) ||
         !occupancy().ZoneAllows(*job, m->zone)) {
       continue;
     }
     best = &entry;
-    best_claim = claim;
+    best_start_priority = start_priority;
   }
   if (!best) return false;
   const int task = best->tasks.front().first;
   best->tasks.pop_front();
-  StartOne(now, m, best->job, task, used, orders);
+  StartTask(now, m, best->job, task, used, orders);
   return true;
 }
 
 // The oldest queued task that has waited long enough to move; null: none has.
-const std::pair<int, Micros>* Dispatch::Movable(Micros now, Job* job) const {
+const std::pair<int, Micros>* Dispatch::NextRebindable(Micros now, Job* job) const {
   if (job->queued == 0) return nullptr;
   while (!job->bound.empty()) {
     const TaskState& t = job->tasks[static_cast<size_t>(job->bound.front().first)];
@@ -152,72 +153,74 @@
   return &job->bound.front();
 }
 
-bool Dispatch::FitsHere(Micros now, const Job& job, const Machine& m, const Resources& used) const {
-  return Allows(job.spec, *m.type, m.zone, m.spot) && !Shuns(now, job, m) &&
+bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& m,
+                          const Resources& used) const {
+  return Allows(job.spec, *m.type, m.zone, m.spot) && !AvoidsMachine(now, job, m) &&
          job.spec.need.Fits(RoomFor(m, job, used, now)) && !machine_table().Held(job) &&
          occupancy().ZoneAllows(job, m.zone);
 }
 
-void Dispatch::MoveHere(Micros now, Machine* m, Job* job, Resources* used,
-                        std::vector<Command>* orders) {
+void Dispatch::RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
+                              std::vector<Command>* orders) {
   const int task = job->bound.front().first;
   job->bound.pop_front();
   m->dispatched_work[static_cast<size_t>(job->bucket)] +=
-      WorkOn(job->spec, m->type->size - m->GangUse());
-  StartOne(now, m, job, task, used, orders);
+      NormalizedWork(job->spec, m->type->size - m->GangUse());
+  StartTask(now, m, job, task, used, orders);
 }
 
 // What is within a guarantee, or of a team that has less than its share, does not wait for its own
 // machine's turn: it moves to any that has room, before that machine's queue.
-bool Dispatch::TakePressing(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+bool Dispatch::StartPreferred(Micros now, Machine* m, Resources* used,
+                              std::vector<Command>* orders) {
   Job* best = nullptr;
-  for (Job* job : sharing().pressing()) {
-    if (!Movable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
+  for (Job* job : fair_share().preferred_jobs()) {
+    if (!NextRebindable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
     if (best) {
-      const int before = sharing().Before(*job, *best);
+      const int before = fair_share().ComparePrecedence(*job, *best);
       if (before < 0 ||
           (before == 0 && std::make_tuple(job->spec.priority, job->submitted_at) >=
                               std::make_tuple(best->spec.priority, best->submitted_at))) {
         continue;
       }
     }
-    if (!FitsHere(now, *job, *m, *used)) continue;
+    if (!CanStartOn(now, *job, *m, *used)) continue;
     best = job;
   }
   if (!best) return false;
-  MoveHere(now, m, best, used, orders);
+  RebindAndStart(now, m, best, used, orders);
   return true;
 }
 
 // A task that has waited long in another machine's queue moves to this one, which has room.
-bool Dispatch::TakeRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   Job* best = nullptr;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
-    if (!Movable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
+    if (!NextRebindable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
     const auto order = [&](const Job* j) {
-      return std::make_tuple(-Claim(now, *j), j->spec.priority, j->spec.estimated_runtime);
+      return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
     };
-    const int before = best ? sharing().Before(*job, *best) : 1;
+    const int before = best ? fair_share().ComparePrecedence(*job, *best) : 1;
     if (before < 0 || (before == 0 && order(best) <= order(job))) continue;
-    if (!FitsHere(now, *job, *m, *used)) continue;
+    if (!CanStartOn(now, *job, *m, *used)) continue;
     best = job;
   }
   if (!best) return false;
-  MoveHere(now, m, best, used, orders);
+  RebindAndStart(now, m, best, used, orders);
   return true;
 }
 
 // A job that can still meet its deadline stays off machines that gangs may have cleared: a task
 // that is stopped runs from its beginning, and a deadline seldom leaves time for that. What can't
 // meet its deadline any more, or has none, fills them meanwhile.
-bool Dispatch::Shuns(Micros now, const Job& job, const Machine& m) const {
+bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& m) const {
   return job.spec.deadline &&
          now < job.submitted_at + *job.spec.deadline - job.spec.estimated_runtime.Scaled(0.8) &&
          scaler().MayBeCleared(job.spec, *m.type, m.zone, m.spot, now);
 }
 
-void Dispatch::Bind(Micros now, Job* job, int task, const Able& able) {
+void Dispatch::Bind(Micros now, Job* job, int task, const EligibleMachine& able) {
   Machine* m = able.machine;
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   t.stage = TaskStage::kQueued;
@@ -225,7 +228,7 @@
   t.bound_at = now;
   ++job->queued;
   job->bound.emplace_back(task, now);
-  m->dispatched_work[static_cast<size_t>(job->bucket)] += WorkOn(job->spec, able.open);
+  m->dispatched_work[static_cast<size_t>(job->bucket)] += NormalizedWork(job->spec, able.open);
   QueueEntry& entry =
       m->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
   entry.job = job;
@@ -243,18 +246,19 @@
 constexpr double kBindRate = 400000;
 
 void Dispatch::BindWaiting(Micros now) {
-  bind_budget_ = std::min(
-      kBindBudget, bind_budget_ + kBindRate * (now - std::exchange(budget_at_, now)).ToSeconds());
+  bind_budget_ =
+      std::min(kBindBudget,
+               bind_budget_ + kBindRate * (now - std::exchange(bind_budget_at_, now)).ToSeconds());
   struct Candidate {
     Machine* machine;
     Resources gangs;
   };
   std::vector<Candidate> ready;  // looked for once a call, and only where something is to be bound
   bool looked = false;
-  auto it = job_table().jobs().upper_bound(bound_last_);
+  auto it = job_table().jobs().upper_bound(last_bound_job_);
   for (size_t n = 0; n < job_table().jobs().size() && bind_budget_ > 0; ++n, ++it) {
     if (it == job_table().jobs().end()) it = job_table().jobs().begin();
-    bound_last_ = it->first;
+    last_bound_job_ = it->first;
     Job* job = it->second.get();
     while (!job->delayed.empty() && job->delayed.begin()->first <= now) {
       job->waiting.push_back(job->delayed.begin()->second);
@@ -271,17 +275,17 @@
         if (machine_table().Ready(*m, now)) ready.push_back({m.get(), m->GangUse()});
       }
     }
-    std::vector<Able> able;
+    std::vector<EligibleMachine> able;
     bind_budget_ -= static_cast<double>(ready.size() + job->waiting.size());
     for (const auto& [m, gangs] : ready) {
       if (!Allows(job->spec, *m->type, m->zone, m->spot)) continue;
-      if (!occupancy().ZoneAllows(*job, m->zone) || Shuns(now, *job, *m)) continue;
+      if (!occupancy().ZoneAllows(*job, m->zone) || AvoidsMachine(now, *job, *m)) continue;
       const Resources open = RoomFor(*m, *job, gangs, now);
       if (!job->spec.need.Fits(open)) continue;
       able.push_back({m, open});
     }
     if (able.empty()) continue;
-    LeastReceived turns(*job, able);
+    LeastWorkPolicy turns(*job, able);
     int may = blame().MayBind(now, *job);
     while (!job->waiting.empty() && job->queued < options().bind_window && may > 0) {
       const int task = job->waiting.front();
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -17,30 +17,31 @@
   using Part::Part;
 
   void BindWaiting(Micros now);
-  void KeepForUnbegun(Micros now);
-  void StartFrom(Micros now, Machine* m, std::vector<Command>* orders);
+  void HoldMachinesForUnstartedJobs(Micros now);
+  void StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders);
   void Unbind(Machine* m);
   void Unbind(Job* job);  // from all machines' queues
   // What of a machine is open to a job, where `used` is taken.
   Resources RoomFor(const Machine& m, const Job& job, const Resources& used, Micros now) const;
 
  private:
-  int Claim(Micros now, const Job& job) const;  // the more, the sooner
-  bool Shuns(Micros now, const Job& job, const Machine& m) const;
-  void Bind(Micros now, Job* job, int task, const Able& able);
-  bool TakeQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  bool TakePressing(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  const std::pair<int, Micros>* Movable(Micros now, Job* job) const;
-  bool FitsHere(Micros now, const Job& job, const Machine& m, const Resources& used) const;
-  void MoveHere(Micros now, Machine* m, Job* job, Resources* used, std::vector<Command>* orders);
-  bool TakeRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  void StartOne(Micros now, Machine* m, Job* job, int task, Resources* used,
-                std::vector<Command>* orders);
-
-  Micros keep_at_;
+  int StartPriority(Micros now, const Job& job) const;  // the more, the sooner
+  bool AvoidsMachine(Micros now, const Job& job, const Machine& m) const;
+  void Bind(Micros now, Job* job, int task, const EligibleMachine& able);
+  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  const std::pair<int, Micros>* NextRebindable(Micros now, Job* job) const;
+  bool CanStartOn(Micros now, const Job& job, const Machine& m, const Resources& used) const;
+  void RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
+                      std::vector<Command>* orders);
+  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  void StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
+                 std::vector<Command>* orders);
+
+  Micros next_hold_at_;
   double bind_budget_ = 0;  // machines that may be looked at
-  Micros budget_at_;
-  std::string bound_last_;  // the job that was bound last
+  Micros bind_budget_at_;
+  std::string last_bound_job_;  // the job that was bound last
 };
 
 }  // namespace badgershore
--- a/src/core/leader/sharing.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -1,4 +1,4 @@
-#include "core/leader/sharing.h"
+#include "core/leader/fair_share.h"
 
 #include <algorithm>
 
@@ -10,23 +10,23 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kLookEvery = Millis(500);
-constexpr Micros kStopWindow = Seconds(60);
-constexpr Micros kKeepRoom = Seconds(12);  // for a check-in of the machine, after the stop
+constexpr Micros kInterval = Millis(500);
+constexpr Micros kPreemptionWindow = Seconds(60);
+constexpr Micros kHoldDuration = Seconds(12);  // for a check-in of the machine, after the stop
 
-double Part_(int64_t used, int64_t all) {
+double Fraction(int64_t used, int64_t all) {
   return all > 0 ? static_cast<double>(used) / static_cast<double>(all) : 0;
 }
 
 }  // namespace
 
-Sharing::Sharing(const LeaderContext* context)
+FairShare::FairShare(const LeaderContext* context)
     : Part(context),
       shares_(settings().teams.size()),
       stopped_(settings().teams.size()),
       stopping_(settings().teams.size()) {}
 
-int Sharing::Before(const Job& a, const Job& b) const {
+int FairShare::ComparePrecedence(const Job& a, const Job& b) const {
   if (a.IsGuaranteed() != b.IsGuaranteed()) return a.IsGuaranteed() ? 1 : -1;
   if (a.team == b.team || a.team < 0 || b.team < 0 || a.spec.priority != b.spec.priority) return 0;
   const bool over_a = shares_[static_cast<size_t>(a.team)].over;
@@ -34,27 +34,28 @@
   return over_a == over_b ? 0 : over_b ? 1 : -1;
 }
 
-bool Sharing::Beyond(int team, const Resources& what) const {
+bool FairShare::ExceedsGuaranteeWithout(int team, const Resources& what) const {
   if (team < 0) return false;
   const Resources left = occupancy().Used(team) - stopping_[static_cast<size_t>(team)] - what;
   const Resources& own = occupancy().Guarantee(team);
   return left.cpu >= own.cpu && left.gpu >= own.gpu;
 }
 
-void Sharing::Forget(const Job* job) {
-  pressing_.erase(std::remove(pressing_.begin(), pressing_.end(), job), pressing_.end());
+void FairShare::Remove(const Job* job) {
+  preferred_jobs_.erase(std::remove(preferred_jobs_.begin(), preferred_jobs_.end(), job),
+                        preferred_jobs_.end());
 }
 
-void Sharing::Tick(Micros now) {
-  if (shares_.size() < 2 || now < at_) return;
-  at_ = now + kLookEvery;
+void FairShare::Tick(Micros now) {
+  if (shares_.size() < 2 || now < next_tick_at_) return;
+  next_tick_at_ = now + kInterval;
   for (Resources& r : stopping_) r = {};
   for (const auto& [id, m] : machine_table().machines()) {
     if (m->held_for && now >= m->held_until) m->held_for = nullptr;
   }
-  Weigh(now);
+  UpdateShares(now);
   std::vector<Job*> short_of;
-  for (Job* job : pressing_) {
+  for (Job* job : preferred_jobs_) {
     if (job->IsGuaranteed() && now - job->guarantee_short_since >= options().reclaim_wait) {
       short_of.push_back(job);
     }
@@ -69,11 +70,11 @@
   }
   std::stable_sort(short_of.begin(), short_of.end(),
                    [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
-  for (Job* job : short_of) Reclaim(now, job);
+  for (Job* job : short_of) ReclaimGuarantee(now, job);
 }
 
 // Shares count only once there is not room for all that could start.
-void Sharing::Weigh(Micros now) {
+void FairShare::UpdateShares(Micros now) {
   Resources all, free;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now)) continue;
@@ -94,8 +95,8 @@
   int active = 0;
   for (size_t i = 0; i < shares_.size(); ++i) {
     const Resources& used = occupancy().Used(static_cast<int>(i));
-    shares_[i].dominant =
-        std::max({Part_(used.cpu, all.cpu), Part_(used.gpu, all.gpu), Part_(used.mem, all.mem)});
+    shares_[i].dominant = std::max(
+        {Fraction(used.cpu, all.cpu), Fraction(used.gpu, all.gpu), Fraction(used.mem, all.mem)});
     sum += shares_[i].dominant;
     active += shares_[i].wants || shares_[i].dominant > 0;
   }
@@ -104,19 +105,20 @@
     s.over = crowded && active > 1 && s.dominant > options().fair_margin * sum / active;
     any_over |= s.over;
   }
-  pressing_.clear();
+  preferred_jobs_.clear();
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->IsGang() || job->team < 0 || job->WantedTasks() == job->placed || job->finishing)
       continue;
     const Share& s = shares_[static_cast<size_t>(job->team)];
     const bool under = any_over && s.dominant * active < sum;
-    if (job->IsGuaranteed() || under) pressing_.push_back(job.get());
+    if (job->IsGuaranteed() || under) preferred_jobs_.push_back(job.get());
   }
 }
 
 // What would have to be stopped on the machine for so many tasks of the job, or as many as can be;
 // false: not for one.
-bool Sharing::FreeOn(Micros now, Machine* m, const Job& job, int tasks, Freed* out) const {
+bool FairShare::PlanOn(Micros now, Machine* m, const Job& job, int tasks,
+                       PreemptionOption* out) const {
   Resources room = dispatch().RoomFor(*m, job, m->Used(), now);
   struct Choice {
     bool lost;  // it does not save
@@ -129,7 +131,7 @@
     if (o.stop_requested) {
       room = room + o.need;  // on its way out
     } else if (o.job && o.team != job.team && !o.job->IsGang() && !o.job->IsService() &&
-               Beyond(o.team, o.need)) {
+               ExceedsGuaranteeWithout(o.team, o.need)) {
       const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
       choices.push_back({o.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &o});
     }
@@ -156,32 +158,34 @@
   return out->tasks > 0;
 }
 
-std::vector<Sharing::Freed> Sharing::PlacesFor(Micros now, const Job& job, int tasks) const {
-  std::vector<Freed> places;
+std::vector<FairShare::PreemptionOption> FairShare::FindOptions(Micros now, const Job& job,
+                                                                int tasks) const {
+  std::vector<PreemptionOption> places;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now) || m->held_for || m->reserved_for) continue;
     if (!Allows(job.spec, *m->type, m->zone, m->spot) || !occupancy().ZoneAllows(job, m->zone)) {
       continue;
     }
-    Freed place;
-    if (FreeOn(now, m.get(), job, tasks, &place)) places.push_back(std::move(place));
+    PreemptionOption place;
+    if (PlanOn(now, m.get(), job, tasks, &place)) places.push_back(std::move(place));
   }
-  std::stable_sort(places.begin(), places.end(),
-                   [](const Freed& a, const Freed& b) { return a.cost < b.cost; });
+  std::stable_sort(
+      places.begin(), places.end(),
+      [](const PreemptionOption& a, const PreemptionOption& b) { return a.cost < b.cost; });
   return places;
 }
 
 // Room for the tasks that the guarantee is short of: where there is some it is kept, elsewhere what
 // other teams run beyond theirs is stopped, what saves first, then what ran least. A team that
 // takes stays within its guarantee and one that gives keeps its own, so no two take in turns.
-void Sharing::Reclaim(Micros now, Job* job) {
+void FairShare::ReclaimGuarantee(Micros now, Job* job) {
   int missing = std::min(job->tasks_within_guarantee, job->remaining()) - job->placed;
   for (const auto& [id, m] : machine_table().machines()) {
     if (m->held_for == job) missing -= m->held_tasks;
   }
   if (missing <= 0 || machine_table().Held(*job) || !occupancy().LimitAllows(*job, 1)) return;
   auto& [stopped, since] = stopped_[static_cast<size_t>(job->team)];
-  if (now - since >= kStopWindow) {
+  if (now - since >= kPreemptionWindow) {
     stopped = 0;
     since = now;
   }
@@ -190,7 +194,7 @@
                static_cast<int64_t>(static_cast<double>(occupancy().Guarantee(job->team).cpu) *
                                     options().reclaim_share));
   int tasks = 0, told = 0;
-  for (const Freed& place : PlacesFor(now, *job, missing)) {
+  for (const PreemptionOption& place : FindOptions(now, *job, missing)) {
     if (missing <= 0) break;
     int64_t cpu = 0;
     bool whole = true;
@@ -198,7 +202,7 @@
     for (const Allocation* o : place.victims) {
       cpu += o->need.cpu;
       // Another place may have used up what the team has beyond its guarantee.
-      whole = whole && Beyond(o->team, o->need);
+      whole = whole && ExceedsGuaranteeWithout(o->team, o->need);
       save = std::max(save, o->job->spec.checkpoint_duration);
     }
     if (!whole || (cpu > 0 && stopped + cpu > most)) continue;
@@ -214,7 +218,7 @@
     const int holds = std::min(place.tasks, missing);
     place.machine->held_for = job;
     place.machine->held_tasks = holds;
-    place.machine->held_until = now + kKeepRoom + save;
+    place.machine->held_until = now + kHoldDuration + save;
     tasks += holds;
     missing -= holds;
     if (!place.victims.empty()) machine_table().HaltNow(now, place.machine);
--- a/src/core/leader/sharing.h
+++ b/src/core/leader/fair_share.h
@@ -10,42 +10,42 @@
 
 namespace badgershore {
 
-class Sharing : public Part {
+class FairShare : public Part {
  public:
-  explicit Sharing(const LeaderContext* context);
+  explicit FairShare(const LeaderContext* context);
 
   void Tick(Micros now);
   // Whether `a` starts before `b` because of who sent them; 0: the paper's order decides.
-  int Before(const Job& a, const Job& b) const;
+  int ComparePrecedence(const Job& a, const Job& b) const;
   // Jobs with queued tasks that go before others wherever there is room: within a guarantee, or of
   // a team that has less than its share while another has more.
-  const std::vector<Job*>& pressing() const { return pressing_; }
-  void Forget(const Job* job);
+  const std::vector<Job*>& preferred_jobs() const { return preferred_jobs_; }
+  void Remove(const Job* job);
   // The team has so much more than its guarantee that this may be stopped to give another its own.
-  bool Beyond(int team, const Resources& what) const;
+  bool ExceedsGuaranteeWithout(int team, const Resources& what) const;
 
  private:
   struct Share {
     double dominant = 0;
     bool wants = false, over = false;
   };
-  struct Freed {  // a place for tasks of the job, and what has to be stopped for it
+  struct PreemptionOption {  // a place for tasks of the job, and what has to be stopped for it
     Machine* machine = nullptr;
     int tasks = 0;
     double cost = 0;  // of each
     std::vector<Allocation*> victims;
   };
-  void Weigh(Micros now);
-  void Reclaim(Micros now, Job* job);
-  std::vector<Freed> PlacesFor(Micros now, const Job& job, int tasks) const;
-  bool FreeOn(Micros now, Machine* m, const Job& job, int tasks, Freed* out) const;
+  void UpdateShares(Micros now);
+  void ReclaimGuarantee(Micros now, Job* job);
+  std::vector<PreemptionOption> FindOptions(Micros now, const Job& job, int tasks) const;
+  bool PlanOn(Micros now, Machine* m, const Job& job, int tasks, PreemptionOption* out) const;
 
   std::vector<Share> shares_;  // by team's number
-  std::vector<Job*> pressing_;
+  std::vector<Job*> preferred_jobs_;
   // What was stopped for each team's guarantee of late: CPU, and since when it is counted.
   std::vector<std::pair<int64_t, Micros>> stopped_;
   std::vector<Resources> stopping_;  // of each team, told to stop and still there
-  Micros at_;
+  Micros next_tick_at_;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/gangs.cpp
+++ b/src/core/leader/gangs.cpp
@@ -2,23 +2,23 @@
 #include "core/leader/gangs.h"
 
 #include "core/leader/dispatch.h"
+#include "core/leader/fair_share.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
-#include "core/leader/sharing.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
 namespace {
 
 // A task that saved runs on after it has found a place, and its image, again.
-constexpr Micros kRestart = Seconds(30);
+constexpr Micros kRestartTime = Seconds(30);
 
 // When a gang that has not begun may go before its turn, as a part of the age limit; and so many
 // others of its team, or so long, come between two of them.
-constexpr double kPressAfter = 1.25;
-constexpr int kOthersBetween = 2;
-constexpr Micros kPressEvery = Seconds(30);
+constexpr double kPriorityTurnAgeFactor = 1.25;
+constexpr int kStartsBetweenPriorityTurns = 2;
+constexpr Micros kPriorityTurnInterval = Seconds(30);
 
 }  // namespace
 
@@ -30,15 +30,16 @@
   // As in the machines' queues: by rank, then the smallest estimate, but the aged before all. What
   // can't start in time any more goes after what can, or in a day of too many gangs every one
   // would be late; it ages all the same, three times as slowly.
-  std::map<int, const Job*> pressed;  // by team
+  std::map<int, const Job*> prioritized;  // by team
   for (const Job* job : gangs) {
-    if (!pressed.contains(job->team)) pressed[job->team] = Pressed(now, job->team, gangs);
+    if (!prioritized.contains(job->team))
+      prioritized[job->team] = PrioritizedGang(now, job->team, gangs);
   }
   const auto order = [&](const Job* j) {
     const bool late = now > j->start_by;
     const bool aged = now - j->submitted_at > options().age_limit.Scaled(late ? 3 : 1);
-    return std::make_tuple(!j->IsGuaranteed(), j->spec.priority, pressed.at(j->team) != j, !aged,
-                           late, aged ? j->submitted_at : j->spec.estimated_runtime);
+    return std::make_tuple(!j->IsGuaranteed(), j->spec.priority, prioritized.at(j->team) != j,
+                           !aged, late, aged ? j->submitted_at : j->spec.estimated_runtime);
   };
   std::sort(gangs.begin(), gangs.end(),
             [&](const Job* a, const Job* b) { return order(a) < order(b); });
@@ -46,36 +47,36 @@
   occupancy().DropClaims();
   for (Job* job : gangs) {
     const bool waited = job->placed == 0;
-    Follow(now, job);
+    AdvanceAttempt(now, job);
     if (waited && job->placed > 0) {
-      Turn& turn = turns_[job->team];
-      turn.others = pressed.at(job->team) == job ? 0 : turn.others + 1;
-      if (turn.others == 0) turn.at = now + kPressEvery;
+      PriorityTurn& turn = priority_turns_[job->team];
+      turn.other_starts = prioritized.at(job->team) == job ? 0 : turn.other_starts + 1;
+      if (turn.other_starts == 0) turn.next_at = now + kPriorityTurnInterval;
     }
     // For one that fails wherever it starts nothing else is stopped.
     if (job->placed > 0 || now < job->backoff_until || machine_table().Held(*job) ||
         job->IsFaulty()) {
-      Release(job);
+      ReleaseReservation(job);
       continue;
     }
     const bool allowed = occupancy().LimitAllows(*job, job->remaining());
     if (!allowed && !occupancy().LimitCouldAllow(*job, job->remaining())) {
-      Release(job);  // what is kept for it would stand empty
+      ReleaseReservation(job);  // what is kept for it would stand empty
       job->quota_blocked_since = kNever;
     } else {
       waiting_.push_back(job);
       job->quota_blocked_since = allowed ? kNever : std::min(job->quota_blocked_since, now);
     }
     // One that goes before its turn keeps its part while its machines are being cleared, too.
-    if (!allowed || pressed.at(job->team) == job) occupancy().Claim(*job, job->remaining());
+    if (!allowed || prioritized.at(job->team) == job) occupancy().Claim(*job, job->remaining());
   }
-  for (Job* job : waiting_) ReserveFor(now, job, pressed.at(job->team) == job);
-  if (now >= limit_look_at_) {
-    limit_look_at_ = now + Seconds(1);
+  for (Job* job : waiting_) ReserveFor(now, job, prioritized.at(job->team) == job);
+  if (now >= quota_preemption_at_) {
+    quota_preemption_at_ = now + Seconds(1);
     for (Job* job : waiting_) {
       if (job->quota_blocked_since < kNever &&
           now - job->quota_blocked_since > options().limit_patience) {
-        MakeLimitRoom(now, *job);
+        PreemptForQuota(now, *job);
         break;
       }
     }
@@ -86,9 +87,9 @@
 // as long as others come. Of a team's gangs that have not begun well past the age limit the one
 // with the most work goes first, but not before some others have gone: were it all of them, on a
 // day of too many every one would be late.
-const Job* Gangs::Pressed(Micros now, int team, const std::vector<Job*>& gangs) {
-  Turn& turn = turns_[team];
-  if (turn.others < kOthersBetween && now < turn.at) return nullptr;
+const Job* Gangs::PrioritizedGang(Micros now, int team, const std::vector<Job*>& gangs) {
+  PriorityTurn& turn = priority_turns_[team];
+  if (turn.other_starts < kStartsBetweenPriorityTurns && now < turn.next_at) return nullptr;
   const auto work = [](const Job* j) {
     return static_cast<double>(j->spec.need.cpu) * j->spec.tasks *
            j->spec.estimated_runtime.ToSeconds();
@@ -96,18 +97,18 @@
   const Job* best = nullptr;
   for (const Job* j : gangs) {
     if (j->team != team || j->IsFaulty() || j->placed > 0 || j->has_run) continue;
-    if (now - j->submitted_at < options().age_limit.Scaled(kPressAfter)) continue;
-    if (j->spec.id == turn.whose) return j;  // what is kept for it stays kept
+    if (now - j->submitted_at < options().age_limit.Scaled(kPriorityTurnAgeFactor)) continue;
+    if (j->spec.id == turn.job_id) return j;  // what is kept for it stays kept
     if (!best || work(j) > work(best) ||
         (work(j) == work(best) && j->submitted_at < best->submitted_at)) {
       best = j;
     }
   }
-  turn.whose = best ? best->spec.id : "";
+  turn.job_id = best ? best->spec.id : "";
   return best;
 }
 
-void Gangs::Halt(Micros now, Job* job, Micros grace) {
+void Gangs::StopGang(Micros now, Job* job, Micros grace) {
   // All members are told at once: the save counts only within the peers' patience.
   for (auto& [id, m] : machine_table().machines()) {
     bool any = false;
@@ -119,7 +120,7 @@
         it = occupancy().Erase(m.get(), it);
         const TaskState& t = job->tasks[static_cast<size_t>(task)];
         if (t.stage == TaskStage::kPlaced && t.machine == m.get() && t.attempt == attempt) {
-          job_table().TaskBack(now, job, task, {});
+          job_table().RequeueTask(now, job, task, {});
         }
         continue;
       }
@@ -135,7 +136,7 @@
   job->gang_stopping = true;
 }
 
-void Gangs::Follow(Micros now, Job* job) {
+void Gangs::AdvanceAttempt(Micros now, Job* job) {
   scaler().NoteGang(job->spec, now);
   if (job->placed == 0) {
     // Every member is proved gone; the next attempt is a new one.
@@ -147,28 +148,28 @@
   if (job->gang_stopping || job->placed == job->remaining()) return;
   // A member is missing. Before the gang has run, a replacement completes it; afterwards the
   // others have nothing to wait for.
-  if (job->gang_attempt_ran) return Halt(now, job, {});
+  if (job->gang_attempt_ran) return StopGang(now, job, {});
   if (!machine_table().Held(*job)) Place(now, job);
 }
 
-bool Gangs::MayStop(const Allocation& o, const Job& gang) const {
+bool Gangs::MayPreempt(const Allocation& o, const Job& gang) const {
   if (!o.job || o.job->IsGang()) return false;
   if (o.job->spec.priority > gang.spec.priority) return true;
   // Its team's guarantee goes before what others have beyond theirs.
   return gang.IsGuaranteed() && o.team != gang.team && !o.job->IsService() &&
-         sharing().Beyond(o.team, o.need);
+         fair_share().ExceedsGuaranteeWithout(o.team, o.need);
 }
 
 // What a task has run for and loses when it is stopped: one that saves loses the time that its
 // saving and starting anew take.
-Micros Gangs::LostBy(Micros now, const Allocation& o) const {
+Micros Gangs::LostRunTime(Micros now, const Allocation& o) const {
   const Micros ran =
       std::max(Micros{}, now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at);
   if (o.job->spec.checkpoint_interval.count == 0) return ran;
-  return std::min(ran, o.job->spec.checkpoint_duration + kRestart);
+  return std::min(ran, o.job->spec.checkpoint_duration + kRestartTime);
 }
 
-void Gangs::Stop(Allocation* o) {
+void Gangs::RequestStop(Allocation* o) {
   o->stop_requested = true;
   o->grace_period =
       o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
@@ -177,7 +178,7 @@
 // Where a team's limit keeps a gang waiting, work of lower rank of the same team ends for it: most
 // ends by itself, since no more of it starts; what is missing still is stopped, what ran least
 // first.
-void Gangs::MakeLimitRoom(Micros now, const Job& gang) {
+void Gangs::PreemptForQuota(Micros now, const Job& gang) {
   // What the gang itself claims is not missing.
   Resources missing = occupancy().LimitShort(gang, 0);
   struct Choice {
@@ -192,7 +193,7 @@
       if (o.stop_requested) {
         missing = missing - o.need;
       } else if (o.job && o.preemptible_priority > static_cast<int>(gang.spec.priority)) {
-        choices.push_back({LostBy(now, o), m.get(), &o});
+        choices.push_back({LostRunTime(now, o), m.get(), &o});
       }
     }
   }
@@ -201,7 +202,7 @@
   std::map<std::string, Machine*> told;  // by id: the order of addresses differs between runs
   for (const Choice& c : choices) {
     if (missing.cpu <= 0 && missing.gpu <= 0) break;
-    Stop(c.o);
+    RequestStop(c.o);
     missing = missing - c.o->need;
     told[c.machine->id] = c.machine;
   }
@@ -222,8 +223,8 @@
     }
     const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
     const double ran = std::max(0.0, (now - t.bound_at).ToSeconds());
-    if (MayStop(o, gang)) {
-      cost += LostBy(now, o).ToSeconds() * cpu;
+    if (MayPreempt(o, gang)) {
+      cost += LostRunTime(now, o).ToSeconds() * cpu;
     } else if (o.job->IsService()) {
       kept = kept + o.need;
     } else {
@@ -244,13 +245,13 @@
 // each hold half of what they need would wait for each other. Work of lower rank makes way at
 // once and runs again elsewhere.
 //
-// For one that goes before its turn (`pressed`) machines on which other gangs run are kept, too,
-// those that end soonest: where all are taken, as many as it needs are never free at one time.
+// For one that goes before its turn (`prioritized`) machines on which other gangs run are kept,
+// too, those that end soonest: where all are taken, as many as it needs are never free at one time.
 // Until they are, work of lower rank runs on in that room.
-void Gangs::ReserveFor(Micros now, Job* gang, bool pressed) {
+void Gangs::ReserveFor(Micros now, Job* gang, bool prioritized) {
   if (!election()->MayStart(now)) return;
   const auto open_on = [&](const Machine& m) {
-    return pressed ? m.type->size : m.type->size - m.GangUse();
+    return prioritized ? m.type->size : m.type->size - m.GangUse();
   };
   struct Choice {
     Machine* machine;
@@ -267,7 +268,7 @@
         continue;
       if ((!only.empty() && m->zone != only) || (m->reserved_for && m->reserved_for != gang))
         continue;
-      std::optional<double> cost = CostToClear(now, *m, *gang, pressed);
+      std::optional<double> cost = CostToClear(now, *m, *gang, prioritized);
       if (!cost) continue;
       // What was chosen before stays chosen: its tasks have been stopped already.
       if (m->reserved_for == gang) *cost = -1;
@@ -297,7 +298,7 @@
       least = sum;
     }
   }
-  Release(gang);
+  ReleaseReservation(gang);
   gang->has_reservation = !chosen.empty();
   int members = 0;
   bool later = false;
@@ -311,11 +312,11 @@
   }
   for (const Choice& c : chosen) {
     c.machine->reserved_after_gangs = later;
-    if (!later) MakeWay(now, c.machine, *gang);
+    if (!later) PreemptForGang(now, c.machine, *gang);
   }
 }
 
-void Gangs::Release(Job* gang) {
+void Gangs::ReleaseReservation(Job* gang) {
   if (!std::exchange(gang->has_reservation, false)) return;
   for (auto& [id, m] : machine_table().machines()) {
     if (m->reserved_for != gang) continue;
@@ -325,7 +326,7 @@
 }
 
 // Stops what of lower rank stands in the way, that which has run least first.
-void Gangs::MakeWay(Micros now, Machine* m, const Job& gang) {
+void Gangs::PreemptForGang(Micros now, Machine* m, const Job& gang) {
   const Resources need = gang.spec.need.Times(m->reserved_members);
   Resources room = m->type->size - m->Used();
   std::vector<std::pair<Micros, Allocation*>> stoppable;
@@ -333,8 +334,8 @@
     if (o.exited()) continue;
     if (o.stop_requested) {
       room = room + o.need;
-    } else if (MayStop(o, gang)) {
-      stoppable.emplace_back(LostBy(now, o), &o);
+    } else if (MayPreempt(o, gang)) {
+      stoppable.emplace_back(LostRunTime(now, o), &o);
     }
   }
   std::sort(stoppable.begin(), stoppable.end(),
@@ -343,7 +344,7 @@
   bool any = false;
   for (auto& [loss, o] : stoppable) {
     if (need.Fits(room)) break;
-    Stop(o);
+    RequestStop(o);
     any = true;
     room = room + o->need;
     lost += loss.ToSeconds() * static_cast<double>(o->need.cpu) / 1000;
@@ -359,7 +360,7 @@
 // Until its worker has forgotten that attempt, the same machine can't take it again: a start would
 // do nothing there, and here the new member would be counted under the old one's entry, which has
 // exited. Elsewhere its image would have to be fetched once more, so it is waited for.
-bool Gangs::AwaitsClear(Micros now, const Job& job, const std::vector<int>& members) const {
+bool Gangs::AwaitsOldAttempt(Micros now, const Job& job, const std::vector<int>& members) const {
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now)) continue;
     for (int task : members) {
@@ -376,7 +377,7 @@
   }
   if (members.empty() || !occupancy().LimitAllows(*job, static_cast<int>(members.size())))
     return false;
-  if (job->gang_attempt != 0 && AwaitsClear(now, *job, members)) return false;
+  if (job->gang_attempt != 0 && AwaitsOldAttempt(now, *job, members)) return false;
   struct Room {
     Machine* machine;
     Resources free;
@@ -417,7 +418,7 @@
     for (size_t k = 0; k < members.size(); ++k) {
       occupancy().Place(now, chosen[k], job, members[k], job->gang_attempt)->start_unsent = true;
     }
-    Release(job);
+    ReleaseReservation(job);
     asker()->Debug("gang " + job->spec.id + " placed on " + chosen[0]->id + " after " +
                    std::to_string((now - job->submitted_at).ToMillis()) + " ms");
     return true;
@@ -425,8 +426,8 @@
   return false;
 }
 
-void Gangs::Forget(Job* job) {
-  Release(job);
+void Gangs::Remove(Job* job) {
+  ReleaseReservation(job);
   waiting_.erase(std::remove(waiting_.begin(), waiting_.end(), job), waiting_.end());
 }
 
--- a/src/core/leader/gangs.h
+++ b/src/core/leader/gangs.h
@@ -17,32 +17,32 @@
 
   void Tick(Micros now);
   // All members are told at once: a save counts only within the peers' patience.
-  void Halt(Micros now, Job* job, Micros grace);
-  void Forget(Job* job);  // it is over
+  void StopGang(Micros now, Job* job, Micros grace);
+  void Remove(Job* job);  // it is over
 
  private:
   bool Place(Micros now, Job* job);
-  bool AwaitsClear(Micros now, const Job& job, const std::vector<int>& members) const;
-  bool MayStop(const Allocation& o, const Job& gang) const;
-  Micros LostBy(Micros now, const Allocation& o) const;
-  void Stop(Allocation* o);
-  void MakeLimitRoom(Micros now, const Job& gang);
+  bool AwaitsOldAttempt(Micros now, const Job& job, const std::vector<int>& members) const;
+  bool MayPreempt(const Allocation& o, const Job& gang) const;
+  Micros LostRunTime(Micros now, const Allocation& o) const;
+  void RequestStop(Allocation* o);
+  void PreemptForQuota(Micros now, const Job& gang);
   std::optional<double> CostToClear(Micros now, const Machine& m, const Job& gang,
                                     bool after_gangs) const;
-  void ReserveFor(Micros now, Job* gang, bool pressed);
-  void Release(Job* gang);
-  void MakeWay(Micros now, Machine* m, const Job& gang);
-  void Follow(Micros now, Job* job);
-  const Job* Pressed(Micros now, int team, const std::vector<Job*>& gangs);
+  void ReserveFor(Micros now, Job* gang, bool prioritized);
+  void ReleaseReservation(Job* gang);
+  void PreemptForGang(Micros now, Machine* m, const Job& gang);
+  void AdvanceAttempt(Micros now, Job* job);
+  const Job* PrioritizedGang(Micros now, int team, const std::vector<Job*>& gangs);
 
   std::vector<Job*> waiting_;
-  Micros limit_look_at_;
-  struct Turn {
-    std::string whose;  // goes before its turn
-    int others = 0;     // have gone since
-    Micros at;
+  Micros quota_preemption_at_;
+  struct PriorityTurn {
+    std::string job_id;    // goes before its turn
+    int other_starts = 0;  // have gone since
+    Micros next_at;
   };
-  std::map<int, Turn> turns_;  // by team
+  std::map<int, PriorityTurn> priority_turns_;  // by team
 };
 
 }  // namespace badgershore
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -1,10 +1,10 @@
 #include "core/leader/job_table.h"
 
+#include "core/leader/fair_share.h"
 #include "core/leader/gangs.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/recorder.h"
-#include "core/leader/sharing.h"
 #include "core/placement/autoscale.h"
 #include "core/placement/guardrails.h"
 
@@ -12,12 +12,12 @@
 namespace {
 
 // A cancellation is recorded within this, or its user is told to ask again.
-constexpr Micros kCalledOff = Seconds(5);
+constexpr Micros kCancelPendingTimeout = Seconds(5);
 
 // Half of what users take for work left lying.
-constexpr Micros kPassedOver = Seconds(45);
+constexpr Micros kStarvationTimeout = Seconds(45);
 
-Resources Least(const Resources& a, const Resources& b) {
+Resources ElementwiseMin(const Resources& a, const Resources& b) {
   return {std::min(a.cpu, b.cpu), std::min(a.gpu, b.gpu), std::min(a.mem, b.mem)};
 }
 
@@ -28,7 +28,7 @@
   return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-void JobTable::OnJobEntry(Micros now, const Entry& e) {
+void JobTable::ApplyJobRecord(Micros now, const Entry& e) {
   const std::string id = e.key.substr(keys::kJob.size());
   if (e.deleted) {
     EndJob(now, id);
@@ -56,8 +56,8 @@
                                           by - spec.estimated_runtime.Scaled(0.8));
     }
   }
-  least_need_ = jobs_.empty() ? spec.need : Least(least_need_, spec.need);
-  job->bucket = BucketOf(spec, options().bucket_width);
+  smallest_need_ = jobs_.empty() ? spec.need : ElementwiseMin(smallest_need_, spec.need);
+  job->bucket = SizeBucket(spec, options().bucket_width);
   job->tasks.resize(static_cast<size_t>(spec.tasks));
   job->progress_pages.resize(static_cast<size_t>((spec.tasks + kChunkTasks - 1) / kChunkTasks));
   if (!job->IsGang()) {
@@ -74,31 +74,31 @@
                      scaler().Allowance(spec, settings().objectives, 1.0) - spec.estimated_runtime,
                      boot, job->submitted_at, now);
   }
-  job->cancel_pending = called_off_.contains(spec.id);
+  job->cancel_pending = cancel_pending_until_.contains(spec.id);
   jobs_[spec.id] = std::move(job);
   asker()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
                  " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
 }
 
-void JobTable::CallOff(Micros now, const std::string& id) {
-  called_off_[id] = now + kCalledOff;
+void JobTable::MarkCancelPending(Micros now, const std::string& id) {
+  cancel_pending_until_[id] = now + kCancelPendingTimeout;
   if (Job* job = Find(id)) job->cancel_pending = true;
 }
 
-void JobTable::GoOn(Micros now) {
-  for (auto it = called_off_.begin(); it != called_off_.end();) {
+void JobTable::ExpirePendingCancellations(Micros now) {
+  for (auto it = cancel_pending_until_.begin(); it != cancel_pending_until_.end();) {
     if (now < it->second) {
       ++it;
       continue;
     }
     if (Job* job = Find(it->first)) job->cancel_pending = false;
-    it = called_off_.erase(it);
+    it = cancel_pending_until_.erase(it);
   }
 }
 
-void JobTable::MarkPassedOver(Micros now) {
+void JobTable::MarkStarved(Micros now) {
   for (auto& [id, job] : jobs_) {
-    job->starved = !job->IsGang() && now - job->progressed_at > kPassedOver;
+    job->starved = !job->IsGang() && now - job->progressed_at > kStarvationTimeout;
   }
 }
 
@@ -116,8 +116,8 @@
   if (it == jobs_.end()) return;
   Job* job = it->second.get();
   CloseJob(now, job);
-  if (job->IsGang()) gangs().Forget(job);
-  sharing().Forget(job);
+  if (job->IsGang()) gangs().Remove(job);
+  fair_share().Remove(job);
   asker()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
   jobs_.erase(it);
   for (auto& [mid, m] : machine_table().machines()) {
@@ -139,13 +139,13 @@
   }
 }
 
-JobStatus JobTable::Digest(const std::string& id) const {
+JobStatus JobTable::Status(const std::string& id) const {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return {id, 0, 0};
   return {id, it->second->done, it->second->running};
 }
 
-std::vector<JobStatus> JobTable::Digests() const {
+std::vector<JobStatus> JobTable::Statuses() const {
   std::vector<JobStatus> out;
   for (const auto& [id, job] : jobs_) {
     if (out.size() >= 2000) break;
@@ -176,7 +176,7 @@
   }
 }
 
-void JobTable::TaskBack(Micros now, Job* job, int task, Micros pause) {
+void JobTable::RequeueTask(Micros now, Job* job, int task, Micros pause) {
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   if (t.stage == TaskStage::kDone) return;
   t.stage = TaskStage::kWaiting;
@@ -219,11 +219,12 @@
   }
 }
 
-void JobTable::NoteLeastNeed() {
+void JobTable::UpdateSmallestNeed() {
   bool first = true;
   for (auto& [id, job] : jobs_) {
     if (job->IsGang()) continue;
-    least_need_ = std::exchange(first, false) ? job->spec.need : Least(least_need_, job->spec.need);
+    smallest_need_ = std::exchange(first, false) ? job->spec.need
+                                                 : ElementwiseMin(smallest_need_, job->spec.need);
   }
 }
 
--- a/src/core/leader/job_table.h
+++ b/src/core/leader/job_table.h
@@ -22,32 +22,32 @@
   const Jobs& jobs() const { return jobs_; }
   Job* Find(const std::string& id) const;
   // A job's record has come, changed or gone.
-  void OnJobEntry(Micros now, const Entry& e);
+  void ApplyJobRecord(Micros now, const Entry& e);
   // Its record is gone: done or withdrawn, and whatever of it still runs is to stop.
   void EndJob(Micros now, const std::string& id);
   void MarkDone(Micros now, Job* job, int task);
   // A node is recording its cancellation: nothing of it starts for a while. Its record alone says
   // whether it is over.
-  void CallOff(Micros now, const std::string& job);
-  void GoOn(Micros now);  // with those whose cancellation did not come about
-  void MarkPassedOver(Micros now);
+  void MarkCancelPending(Micros now, const std::string& job);
+  void ExpirePendingCancellations(Micros now);  // with those whose cancellation did not come about
+  void MarkStarved(Micros now);
   // A task that was queued or on a machine waits again, after a pause.
-  void TaskBack(Micros now, Job* job, int task, Micros pause);
+  void RequeueTask(Micros now, Job* job, int task, Micros pause);
   void MarkGuaranteed(Micros now);
-  void NoteLeastNeed();
+  void UpdateSmallestNeed();
   // No live array's task takes less, as of the last tick or arrival.
-  const Resources& least_need() const { return least_need_; }
+  const Resources& smallest_need() const { return smallest_need_; }
 
-  JobStatus Digest(const std::string& job) const;
-  std::vector<JobStatus> Digests() const;
+  JobStatus Status(const std::string& job) const;
+  std::vector<JobStatus> Statuses() const;
 
  private:
   void AddJob(Micros now, const JobSpec& spec, uint64_t stamp);
   void CloseJob(Micros now, Job* job);
 
   Jobs jobs_;
-  std::map<std::string, Micros> called_off_;  // until when; perhaps not known here yet
-  Resources least_need_;
+  std::map<std::string, Micros> cancel_pending_until_;  // until when; perhaps not known here yet
+  Resources smallest_need_;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -34,8 +34,8 @@
       provisioner_(&context_),
       rights_(&context_),
       checkins_(&context_),
-      sharing_(&context_),
-      supervisor_(&context_) {
+      fair_share_(&context_),
+      stuck_job_detector_(&context_) {
   context_.began = ticked_at_ = now;
   context_.began_ms = time_of_day_ms;
   context_.scaler = &scaler_;
@@ -49,10 +49,11 @@
   context_.provisioner = &provisioner_;
   context_.rights = &rights_;
   context_.checkins = &checkins_;
-  context_.sharing = &sharing_;
-  context_.supervisor = &supervisor_;
+  context_.fair_share = &fair_share_;
+  context_.stuck_job_detector = &stuck_job_detector_;
   jobs_mirror_ = std::make_unique<Mirror>(
-      context_.asker, keys::kJob, [this](Micros t, const Entry& e) { job_table_.OnJobEntry(t, e); },
+      context_.asker, keys::kJob,
+      [this](Micros t, const Entry& e) { job_table_.ApplyJobRecord(t, e); },
       [this](Micros) {
         if (std::exchange(jobs_loaded_, true)) return;
         // Progress is read after the jobs, so that each finds its job.
@@ -154,14 +155,14 @@
   machine_table_.Watch(now);
   if (!context_.election->leads()) return;
   rights_.Tick(now);
-  job_table_.GoOn(now);
-  job_table_.MarkPassedOver(now);
+  job_table_.ExpirePendingCancellations(now);
+  job_table_.MarkStarved(now);
   job_table_.MarkGuaranteed(now);
-  sharing_.Tick(now);
-  supervisor_.Tick(now);
-  job_table_.NoteLeastNeed();
+  fair_share_.Tick(now);
+  stuck_job_detector_.Tick(now);
+  job_table_.UpdateSmallestNeed();
   gangs_.Tick(now);
-  dispatch_.KeepForUnbegun(now);
+  dispatch_.HoldMachinesForUnstartedJobs(now);
   dispatch_.BindWaiting(now);
   checkins_.AnswerReady(now);
   recorder_.Write(now);
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -11,6 +11,7 @@
 #include "core/leader/blame.h"
 #include "core/leader/checkins.h"
 #include "core/leader/dispatch.h"
+#include "core/leader/fair_share.h"
 #include "core/leader/gangs.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
@@ -19,8 +20,7 @@
 #include "core/leader/provisioner.h"
 #include "core/leader/recorder.h"
 #include "core/leader/rights.h"
-#include "core/leader/sharing.h"
-#include "core/leader/supervisor.h"
+#include "core/leader/stuck_job_detector.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
@@ -37,16 +37,18 @@
   using Verdict = Checkins::Verdict;
   Verdict Checkin(Micros now, RequestId token, const Heartbeat& report,
                   std::vector<Command>* orders);
-  JobStatus Digest(const std::string& job) const { return job_table_.Digest(job); }
-  std::vector<JobStatus> Digests() const { return job_table_.Digests(); }
+  JobStatus Status(const std::string& job) const { return job_table_.Status(job); }
+  std::vector<JobStatus> Statuses() const { return job_table_.Statuses(); }
   Micros GoodUntil(const std::vector<Command>& orders) const { return checkins_.GoodUntil(orders); }
   // The term is over: whoever still waits for an answer is to look elsewhere.
   void Dismiss();
   void OnCell(Micros now, const limits::CellMessage& note) { rights_.OnNote(now, note); }
-  void CallOff(Micros now, const std::string& job) { job_table_.CallOff(now, job); }
+  void MarkCancelPending(Micros now, const std::string& job) {
+    job_table_.MarkCancelPending(now, job);
+  }
   // It is recorded: halts leave at once, though this leader may be the one that can't read it.
-  void CalledOff(Micros now, const std::string& job) {
-    job_table_.CallOff(now, job);
+  void EndCancelledJob(Micros now, const std::string& job) {
+    job_table_.MarkCancelPending(now, job);
     job_table_.EndJob(now, job);
   }
   const Rights& rights() const { return rights_; }
@@ -54,7 +56,7 @@
   bool ready() const { return ready_; }
   bool Deaf(Micros now) const { return ready_ && machine_table_.Deaf(now); }
   std::string Explain(Micros now, const std::string& job) const {
-    return supervisor_.Explain(now, job);
+    return stuck_job_detector_.Explain(now, job);
   }
   // Where the counts kept as things change differ from a full count; empty: nowhere.
   std::string CountFault() const { return occupancy_.Fault(); }
@@ -93,8 +95,8 @@
   Provisioner provisioner_;
   Rights rights_;
   Checkins checkins_;
-  Sharing sharing_;
-  Supervisor supervisor_;
+  FairShare fair_share_;
+  StuckJobDetector stuck_job_detector_;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -61,7 +61,7 @@
   m->zone = zone;
   m->spot = spot;
   m->rented_at = now;
-  m->dispatched_work.assign(kBuckets, 0.0);
+  m->dispatched_work.assign(kSizeBuckets, 0.0);
   auto it = types().find(type);
   if (it != types().end()) m->type = &it->second;
   return (machines_[id] = std::move(m)).get();
@@ -93,7 +93,7 @@
   if (!job || o->exited()) return;
   const TaskState& t = job->tasks[static_cast<size_t>(o->ref.task)];
   if (t.stage == TaskStage::kPlaced && t.machine == m && t.attempt == o->attempt) {
-    job_table().TaskBack(now, job, o->ref.task, {});
+    job_table().RequeueTask(now, job, o->ref.task, {});
   }
 }
 
@@ -215,7 +215,7 @@
     for (auto& [id, p] : machines_) {
       if (p.get() != m && p->stage == MachineStage::kUp) peers.push_back(p.get());
     }
-    LevelCounters(m, peers);
+    InitializeDispatchedWork(m, peers);
     asker()->Info("machine " + m->id + " (" + m->type_name + (m->spot ? ", spot" : "") + ") up " +
                   std::to_string(static_cast<int>((now - m->rented_at).ToSeconds())) +
                   " s after its request");
@@ -312,7 +312,7 @@
   if (cause == ExitReason::kDone) {
     blame().Done(now, m, job);
     job_table().MarkDone(now, job, o->ref.task);
-    if (job->IsService() && current) job_table().TaskBack(now, job, o->ref.task, Seconds(1));
+    if (job->IsService() && current) job_table().RequeueTask(now, job, o->ref.task, Seconds(1));
     return;
   }
   Micros pause;
@@ -329,7 +329,7 @@
   } else if (cause == ExitReason::kDuplicateTask) {
     pause = Seconds(1);
   }
-  if (current) job_table().TaskBack(now, job, o->ref.task, pause);
+  if (current) job_table().RequeueTask(now, job, o->ref.task, pause);
 }
 
 bool MachineTable::Deaf(Micros now) const {
@@ -458,7 +458,8 @@
         }
       }
       if (halts) HaltNow(now, m);
-      for (auto& [job_id, job] : saved_whole) gangs().Halt(now, job, job->spec.checkpoint_duration);
+      for (auto& [job_id, job] : saved_whole)
+        gangs().StopGang(now, job, job->spec.checkpoint_duration);
     }
   }
   for (auto it = tombstones_.begin(); it != tombstones_.end();) {
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -26,8 +26,8 @@
 class Provisioner;
 class Rights;
 class MachineTable;
-class Sharing;
-class Supervisor;
+class FairShare;
+class StuckJobDetector;
 
 struct LeaderContext {
   Asker* asker = nullptr;
@@ -53,8 +53,8 @@
   Provisioner* provisioner = nullptr;
   Rights* rights = nullptr;
   MachineTable* machine_table = nullptr;
-  Sharing* sharing = nullptr;
-  Supervisor* supervisor = nullptr;
+  FairShare* fair_share = nullptr;
+  StuckJobDetector* stuck_job_detector = nullptr;
 };
 
 class Part {
@@ -85,8 +85,8 @@
   Provisioner& provisioner() const { return *context_->provisioner; }
   Rights& rights() const { return *context_->rights; }
   MachineTable& machine_table() const { return *context_->machine_table; }
-  Sharing& sharing() const { return *context_->sharing; }
-  Supervisor& supervisor() const { return *context_->supervisor; }
+  FairShare& fair_share() const { return *context_->fair_share; }
+  StuckJobDetector& stuck_job_detector() const { return *context_->stuck_job_detector; }
 
   // Wraps a continuation so that it does nothing after the term.
   template <typename F>
--- a/src/core/leader/supervisor.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -1,4 +1,4 @@
-#include "core/leader/supervisor.h"
+#include "core/leader/stuck_job_detector.h"
 
 #include "core/leader/dispatch.h"
 #include "core/leader/gangs.h"
@@ -9,19 +9,18 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kLookEvery = Seconds(5);
+constexpr Micros kInterval = Seconds(5);
 
-std::string Number(int64_t n) { return std::to_string(n); }
+std::string Text(int64_t n) { return std::to_string(n); }
 
 }  // namespace
 
 // Everything that a job's next step can hang on, in the order in which it would be met.
-std::string Supervisor::WhyItWaits(Micros now, const Job& job) const {
+std::string StuckJobDetector::WaitReason(Micros now, const Job& job) const {
   if (job.finishing) return "all done, its end waits to be written";
   if (job.cancel_pending) return "its cancellation is being recorded";
   if (machine_table().Held(job))
-    return Number(static_cast<int64_t>(machine_table().unresolved().size())) +
-           " machines unresolved";
+    return Text(static_cast<int64_t>(machine_table().unresolved().size())) + " machines unresolved";
   if (!election()->MayStart(now)) return "the lease does not hold";
   if (!authority().MayStart(now)) return "what was cancelled of late is not known";
   if (!occupancy().LimitAllows(job, job.IsGang() ? job.remaining() - job.placed : 1))
@@ -45,27 +44,27 @@
     room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
   }
   if (able == 0) return "no machine that may hold it";
-  if (ready == 0) return "none of its " + Number(able) + " machines is ready";
-  if (room == 0) return "no room on " + Number(ready) + " machines";
+  if (ready == 0) return "none of its " + Text(able) + " machines is ready";
+  if (room == 0) return "no room on " + Text(ready) + " machines";
   if (unrecorded == ready) return "the records of its machines wait to be written";
   if (job.placed > 0) return "its tasks on machines do not end";
-  return "room on " + Number(room) + " of " + Number(ready) + " machines, and nothing in the way";
+  return "room on " + Text(room) + " of " + Text(ready) + " machines, and nothing in the way";
 }
 
-std::string Supervisor::Explain(Micros now, const std::string& id) const {
+std::string StuckJobDetector::Explain(Micros now, const std::string& id) const {
   auto it = job_table().jobs().find(id);
   if (it == job_table().jobs().end()) return id + ": not known to the leader";
   const Job& job = *it->second;
-  std::string out = id + ": " + Number(job.done) + " of " + Number(job.spec.tasks) +
-                    " tasks done, " + Number(job.placed) + " on machines, " + Number(job.running) +
-                    " running, " + Number(job.queued) + " in queues";
-  if (job.IsGang()) out += ", attempt " + Number(static_cast<int64_t>(job.gang_attempt & 0xffffff));
-  return out + "; not moved for " + Number((now - job.progressed_at).ToMillis() / 1000) +
-         " s: " + WhyItWaits(now, job);
+  std::string out = id + ": " + Text(job.done) + " of " + Text(job.spec.tasks) + " tasks done, " +
+                    Text(job.placed) + " on machines, " + Text(job.running) + " running, " +
+                    Text(job.queued) + " in queues";
+  if (job.IsGang()) out += ", attempt " + Text(static_cast<int64_t>(job.gang_attempt & 0xffffff));
+  return out + "; not moved for " + Text((now - job.progressed_at).ToMillis() / 1000) +
+         " s: " + WaitReason(now, job);
 }
 
 // So long the job's next step may take: a boot that is tried twice, an image, a run, a gang's wait.
-Micros Supervisor::Patience(const Job& job) const {
+Micros StuckJobDetector::StuckTimeout(const Job& job) const {
   Micros boot;
   for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
   const Micros usual = boot.Scaled(2 * options().boot_patience) +
@@ -74,21 +73,21 @@
   return std::max(options().stuck_after, usual);
 }
 
-void Supervisor::Tick(Micros now) {
-  if (now < at_) return;
-  at_ = now + kLookEvery;
+void StuckJobDetector::Tick(Micros now) {
+  if (now < next_tick_at_) return;
+  next_tick_at_ = now + kInterval;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
     if (job->IsService() && job->placed == job->remaining()) continue;
-    if (now - job->progressed_at < Patience(*job) || now < job->stuck_logged_at) continue;
-    job->stuck_logged_at = now + Patience(*job);
+    if (now - job->progressed_at < StuckTimeout(*job) || now < job->stuck_logged_at) continue;
+    job->stuck_logged_at = now + StuckTimeout(*job);
     asker()->Info("stuck: " + Explain(now, id));
-    Recount(now, job);
+    RepairCounts(now, job);
     // One that only gathers is stopped as after the loss of a member: it starts anew when all of it
     // is proved gone. One that runs may just take long.
     if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
       asker()->Info("stuck: " + id + " is stopped and tried again");
-      gangs().Halt(now, job, job->spec.checkpoint_duration);
+      gangs().StopGang(now, job, job->spec.checkpoint_duration);
     }
   }
 }
@@ -97,7 +96,7 @@
 // fault in here; the job goes on all the same. A task that is said to be on a machine which holds
 // nothing of it is not simply started elsewhere: the machine goes back first, and the cloud's word
 // is the proof that nothing runs there.
-void Supervisor::Recount(Micros now, Job* job) {
+void StuckJobDetector::RepairCounts(Micros now, Job* job) {
   int placed = 0, running = 0;
   std::map<std::string, int> zones;
   std::vector<char> there(job->tasks.size(), 0);
@@ -123,15 +122,15 @@
       if (known.contains(t.machine)) {
         doubtful[t.machine->id] = t.machine;
       } else {
-        job_table().TaskBack(now, job, i, {});
+        job_table().RequeueTask(now, job, i, {});
       }
     }
   }
   if (lost == 0 && placed == job->placed && running == job->running) return;
   asker()->Log(LogLine::Level::kError,
-               "counts of " + job->spec.id + " were wrong: " + Number(job->placed) +
-                   " tasks on machines for " + Number(placed) + ", " + Number(job->running) +
-                   " running for " + Number(running) + ", " + Number(lost) + " lost");
+               "counts of " + job->spec.id + " were wrong: " + Text(job->placed) +
+                   " tasks on machines for " + Text(placed) + ", " + Text(job->running) +
+                   " running for " + Text(running) + ", " + Text(lost) + " lost");
   job->placed = placed;
   job->running = running;
   job->zone_count = zones;
--- a/src/core/leader/supervisor.h
+++ b/src/core/leader/stuck_job_detector.h
@@ -9,7 +9,7 @@
 
 namespace badgershore {
 
-class Supervisor : public Part {
+class StuckJobDetector : public Part {
  public:
   using Part::Part;
 
@@ -18,11 +18,11 @@
   std::string Explain(Micros now, const std::string& job) const;
 
  private:
-  std::string WhyItWaits(Micros now, const Job& job) const;
-  Micros Patience(const Job& job) const;
-  void Recount(Micros now, Job* job);
+  std::string WaitReason(Micros now, const Job& job) const;
+  Micros StuckTimeout(const Job& job) const;
+  void RepairCounts(Micros now, Job* job);
 
-  Micros at_;
+  Micros next_tick_at_;
 };
 
 }  // namespace badgershore
--- a/src/core/placement/guardrails.cpp
+++ b/src/core/placement/guardrails.cpp
@@ -5,37 +5,37 @@
 
 namespace badgershore {
 
-int BucketOf(const JobSpec& spec, double width) {
-  if (spec.kind == JobKind::kService) return kBuckets - 1;
+int SizeBucket(const JobSpec& spec, double width) {
+  if (spec.kind == JobKind::kService) return kSizeBuckets - 1;
   const double s = std::max(spec.estimated_runtime.ToSeconds(), 0.001);
   const int k = static_cast<int>(std::floor(std::log(s) / std::log(width))) + 16;
-  return std::clamp(k, 0, kBuckets - 2);
+  return std::clamp(k, 0, kSizeBuckets - 2);
 }
 
-double WorkOn(const JobSpec& spec, const Resources& open) {
+double NormalizedWork(const JobSpec& spec, const Resources& open) {
   const auto places = static_cast<double>(std::max<int64_t>(1, open.Holds(spec.need)));
   return std::max(spec.estimated_runtime.ToSeconds(), 0.1) / places;
 }
 
-LeastReceived::LeastReceived(const Job& job, const std::vector<Able>& able)
+LeastWorkPolicy::LeastWorkPolicy(const Job& job, const std::vector<EligibleMachine>& able)
     : job_(job), able_(able) {
   const auto bucket = static_cast<size_t>(job.bucket);
   turns_.reserve(able.size());
   for (size_t i = 0; i < able.size(); ++i) {
-    const double each = WorkOn(job.spec, able[i].open);
+    const double each = NormalizedWork(job.spec, able[i].open);
     turns_.push_back({able[i].machine->dispatched_work[bucket] + each,
                       !able[i].machine->HasImage(job.spec.image), i, each});
   }
   std::make_heap(turns_.begin(), turns_.end(), std::greater<>());
 }
 
-const Able* LeastReceived::Next() {
+const EligibleMachine* LeastWorkPolicy::Next() {
   if (turns_.empty()) return nullptr;
   if (turn_left_ == 0) {
     if (in_turn_) std::push_heap(turns_.begin(), turns_.end(), std::greater<>());
     in_turn_ = true;
     std::pop_heap(turns_.begin(), turns_.end(), std::greater<>());
-    const Able& able = able_[turns_.back().index];
+    const EligibleMachine& able = able_[turns_.back().index];
     Resources taken = able.machine->Used();
     // Where much waits, the first of hundreds of jobs in its queue fill the machine already.
     for (const auto& [key, entry] : able.machine->queue) {
@@ -50,10 +50,10 @@
   return &able_[turn.index];
 }
 
-void LevelCounters(Machine* machine, const std::vector<Machine*>& peers) {
-  machine->dispatched_work.assign(kBuckets, 0.0);
+void InitializeDispatchedWork(Machine* machine, const std::vector<Machine*>& peers) {
+  machine->dispatched_work.assign(kSizeBuckets, 0.0);
   if (peers.empty()) return;
-  for (size_t b = 0; b < kBuckets; ++b) {
+  for (size_t b = 0; b < kSizeBuckets; ++b) {
     double sum = 0;
     for (const Machine* p : peers) sum += p->dispatched_work[b];
     machine->dispatched_work[b] = sum / static_cast<double>(peers.size());
--- a/src/core/placement/guardrails.h
+++ b/src/core/placement/guardrails.h
@@ -10,18 +10,18 @@
 
 namespace badgershore {
 
-constexpr int kBuckets = 64;
+constexpr int kSizeBuckets = 64;
 
 // Buckets are [width^k, width^(k+1)) seconds; services count in the top one.
-int BucketOf(const JobSpec& spec, double width);
+int SizeBucket(const JobSpec& spec, double width);
 
 // A task's work on a machine: its estimate divided by how many such tasks the open part holds, so
 // that machines of different sizes are level when each is equally filled, and one that such tasks
 // fill badly gets fewer of them.
-double WorkOn(const JobSpec& spec, const Resources& open);
+double NormalizedWork(const JobSpec& spec, const Resources& open);
 
 // A machine that can hold the job's tasks, and what of it is open to them.
-struct Able {
+struct EligibleMachine {
   Machine* machine = nullptr;
   Resources open;
 };
@@ -33,11 +33,11 @@
 // difference in work dispatched to any pair of servers is never more than a constant multiple of
 // the minimum possible"), and the job is on few machines, any of which may be lost and each of
 // which has to fetch its image.
-class LeastReceived {
+class LeastWorkPolicy {
  public:
-  LeastReceived(const Job& job, const std::vector<Able>& able);
+  LeastWorkPolicy(const Job& job, const std::vector<EligibleMachine>& able);
   // The next task's machine; null when there is none to choose from.
-  const Able* Next();
+  const EligibleMachine* Next();
 
  private:
   struct Turn {
@@ -50,13 +50,13 @@
     }
   };
   const Job& job_;
-  const std::vector<Able>& able_;
+  const std::vector<EligibleMachine>& able_;
   std::vector<Turn> turns_;  // a heap: no look at every machine for every task
   int64_t turn_left_ = 0;    // tasks that the machine at the back still gets, which is off the heap
   bool in_turn_ = false;
 };
 
 // A new machine begins level with its peers, or it would be flooded.
-void LevelCounters(Machine* machine, const std::vector<Machine*>& peers);
+void InitializeDispatchedWork(Machine* machine, const std::vector<Machine*>& peers);
 
 }  // namespace badgershore
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -12,13 +12,13 @@
   JobSpec s;
   const auto bucket = [&](double seconds) {
     s.estimated_runtime = Seconds(seconds);
-    return BucketOf(s, 2.0);
+    return SizeBucket(s, 2.0);
   };
   EXPECT_EQ(bucket(4), bucket(7.9));
   EXPECT_EQ(bucket(8), bucket(4) + 1);
   EXPECT_EQ(bucket(16), bucket(4) + 2);
   s.kind = JobKind::kService;
-  EXPECT_EQ(bucket(4), kBuckets - 1);
+  EXPECT_EQ(bucket(4), kSizeBuckets - 1);
 }
 
 TEST(Dispatch, GoesWhereLeastOfTheBucketWasReceived) {
@@ -26,23 +26,23 @@
   type.size = {4000, 0, 8000};
   Machine a, b;
   a.type = b.type = &type;
-  a.dispatched_work.assign(kBuckets, 0);
-  b.dispatched_work.assign(kBuckets, 0);
+  a.dispatched_work.assign(kSizeBuckets, 0);
+  b.dispatched_work.assign(kSizeBuckets, 0);
   Job job;
   job.spec.estimated_runtime = Seconds(10);
   job.spec.need = {1000, 0, 1000};
-  job.bucket = BucketOf(job.spec, 2.0);
+  job.bucket = SizeBucket(job.spec, 2.0);
   const auto bucket = static_cast<size_t>(job.bucket);
   a.dispatched_work[bucket] = 100;
-  const std::vector<Able> able = {{&a, type.size}, {&b, type.size}};
-  EXPECT_EQ(LeastReceived(job, able).Next()->machine, &b);
+  const std::vector<EligibleMachine> able = {{&a, type.size}, {&b, type.size}};
+  EXPECT_EQ(LeastWorkPolicy(job, able).Next()->machine, &b);
   // What another bucket has received plays no part.
   b.dispatched_work[bucket + 1] = 1e6;
-  EXPECT_EQ(LeastReceived(job, able).Next()->machine, &b);
-  const std::vector<Able> none;
-  EXPECT_EQ(LeastReceived(job, none).Next(), nullptr);
+  EXPECT_EQ(LeastWorkPolicy(job, able).Next()->machine, &b);
+  const std::vector<EligibleMachine> none;
+  EXPECT_EQ(LeastWorkPolicy(job, none).Next(), nullptr);
   // Each task counts at once: 100 of work are 40 tasks on b before a has its turn.
-  LeastReceived turns(job, able);
+  LeastWorkPolicy turns(job, able);
   int on_b = 0;
   while (turns.Next()->machine == &b) ++on_b;
   EXPECT_EQ(on_b, 40);
@@ -53,15 +53,15 @@
   JobSpec s;
   s.estimated_runtime = Seconds(10);
   s.need = {1000, 0, 1000};
-  EXPECT_DOUBLE_EQ(WorkOn(s, small), 2.5);
-  EXPECT_DOUBLE_EQ(WorkOn(s, large), 0.3125);
+  EXPECT_DOUBLE_EQ(NormalizedWork(s, small), 2.5);
+  EXPECT_DOUBLE_EQ(NormalizedWork(s, large), 0.3125);
 }
 
 TEST(Dispatch, ANewMachineBeginsLevelWithItsPeers) {
   Machine a, b, fresh;
-  a.dispatched_work.assign(kBuckets, 2.0);
-  b.dispatched_work.assign(kBuckets, 4.0);
-  LevelCounters(&fresh, {&a, &b});
+  a.dispatched_work.assign(kSizeBuckets, 2.0);
+  b.dispatched_work.assign(kSizeBuckets, 4.0);
+  InitializeDispatchedWork(&fresh, {&a, &b});
   EXPECT_DOUBLE_EQ(fresh.dispatched_work[0], 3.0);
 }
 
