--- a/src/core/frontend/controller.cpp
+++ b/src/core/frontend/controller.cpp
@@ -212,7 +212,8 @@
 }
 
 void Controller::CallOff(Micros now, const std::string& job, bool recorded) {
-  if (leader_) return recorded ? leader_->EndCancelledJob(now, job) : leader_->MarkCancelPending(now, job);
+  if (leader_)
+    return recorded ? leader_->EndCancelledJob(now, job) : leader_->MarkCancelPending(now, job);
   PeerStatus note = NoteOf(now);
   (recorded ? note.cancelled : note.cancelling).push_back(job);
   asker_.out.peer_statuses.push_back(std::move(note));
--- /dev/null
+++ b/src/core/leader/gang_placement.cpp
@@ -0,0 +1,105 @@
+#include "core/leader/gang_placement.h"
+
+#include <map>
+#include <tuple>
+
+#include "core/leader/dispatch.h"
+#include "core/leader/gang_reservations.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/occupancy.h"
+
+namespace badgershore {
+namespace {
+
+std::vector<int> WaitingMembers(const Job& gang) {
+  std::vector<int> members;
+  for (int i = 0; i < gang.spec.tasks; ++i) {
+    if (gang.tasks[static_cast<size_t>(i)].stage == TaskStage::kWaiting) members.push_back(i);
+  }
+  return members;
+}
+
+}  // namespace
+
+std::vector<std::string> CandidateZones(const JobSpec& spec, const PlatformSettings& settings) {
+  if (spec.same_zone) return settings.zones;
+  return {""};
+}
+
+bool GangPlacement::Place(Micros now, Job* gang) {
+  const std::vector<int> members = WaitingMembers(*gang);
+  if (members.empty() || !occupancy().LimitAllows(*gang, static_cast<int>(members.size())))
+    return false;
+  if (gang->gang_attempt != 0 && AwaitsOldAttempt(now, *gang, members)) return false;
+  for (const std::string& zone : CandidateZones(gang->spec, settings())) {
+    const std::vector<Machine*> chosen =
+        ChooseMachines(*gang, members.size(), FindRooms(now, *gang, zone));
+    if (chosen.size() != members.size()) continue;
+    if (gang->gang_attempt == 0) gang->gang_attempt = occupancy().NextAttempt();
+    for (size_t k = 0; k < members.size(); ++k) {
+      occupancy().Place(now, chosen[k], gang, members[k], gang->gang_attempt)->start_unsent = true;
+    }
+    gang_reservations().ReleaseReservation(gang);
+    asker()->Debug("gang " + gang->spec.id + " placed on " + chosen[0]->id + " after " +
+                   std::to_string((now - gang->submitted_at).ToMillis()) + " ms");
+    return true;
+  }
+  return false;
+}
+
+// A member that left a gang still gathering (`alone`, refused) is replaced under the same attempt.
+// Its machine can't take it again before its worker has forgotten that attempt: a start would do
+// nothing there, and the new member would be counted under the exited allocation. Placement waits
+// for that, because another machine would have to fetch the image first.
+bool GangPlacement::AwaitsOldAttempt(Micros now, const Job& gang,
+                                     const std::vector<int>& members) const {
+  for (const auto& [id, m] : machine_table().machines()) {
+    if (!machine_table().Ready(*m, now)) continue;
+    for (int task : members) {
+      if (m->allocations.contains({{gang.spec.id, task}, gang.gang_attempt})) return true;
+    }
+  }
+  return false;
+}
+
+// What the machines of the zone (empty: of all) have free for the gang.
+std::vector<GangPlacement::MachineRoom> GangPlacement::FindRooms(Micros now, const Job& gang,
+                                                                 const std::string& zone) const {
+  std::vector<MachineRoom> rooms;
+  for (auto& [id, m] : machine_table().machines()) {
+    if (!machine_table().Ready(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot)) continue;
+    if (!zone.empty() && m->zone != zone) continue;
+    if (!occupancy().ZoneAllows(gang, m->zone)) continue;
+    if (m->reserved_for && m->reserved_for != &gang) continue;
+    rooms.push_back({m.get(), dispatch().RoomFor(*m, gang, m->Used(), now)});
+  }
+  return rooms;
+}
+
+// One machine for each member, best first: where the gang has not failed, where its image is, and
+// the tightest fit. Fewer than `members` where the room ends.
+std::vector<Machine*> GangPlacement::ChooseMachines(const Job& gang, size_t members,
+                                                    std::vector<MachineRoom> rooms) const {
+  const auto score = [&](const MachineRoom& r) {
+    return std::make_tuple(r.machine->failed_jobs.count(gang.spec.id),
+                           !r.machine->HasImage(gang.spec.image), r.free.cpu, r.free.mem);
+  };
+  std::map<std::string, int> members_in_zone = gang.zone_count;
+  std::vector<Machine*> chosen;
+  while (chosen.size() < members) {
+    MachineRoom* best = nullptr;
+    for (MachineRoom& r : rooms) {
+      if (!gang.spec.need.Fits(r.free)) continue;
+      if (gang.spec.spread && members_in_zone[r.machine->zone] >= (gang.spec.tasks + 1) / 2)
+        continue;
+      if (!best || score(r) < score(*best)) best = &r;
+    }
+    if (!best) break;
+    best->free = best->free - gang.spec.need;
+    ++members_in_zone[best->machine->zone];
+    chosen.push_back(best->machine);
+  }
+  return chosen;
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/gang_placement.h
@@ -0,0 +1,37 @@
+// Places gangs on machines, all members at once.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+// The zones to try one after the other for all of a job's tasks. An empty name stands for all zones
+// together.
+std::vector<std::string> CandidateZones(const JobSpec& spec, const PlatformSettings& settings);
+
+// Puts a gang's waiting members on machines: all of them or none.
+class GangPlacement : public Part {
+ public:
+  using Part::Part;
+
+  // Places all waiting members and releases the gang's reservation; their starts go out with the
+  // machines' next reports. False, and nothing has changed, where not all of them fit.
+  bool Place(Micros now, Job* gang);
+
+ private:
+  struct MachineRoom {
+    Machine* machine;
+    Resources free;
+  };
+  bool AwaitsOldAttempt(Micros now, const Job& gang, const std::vector<int>& members) const;
+  std::vector<MachineRoom> FindRooms(Micros now, const Job& gang, const std::string& zone) const;
+  std::vector<Machine*> ChooseMachines(const Job& gang, size_t members,
+                                       std::vector<MachineRoom> rooms) const;
+};
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/gang_preemption.cpp
@@ -0,0 +1,141 @@
+#include "core/leader/gang_preemption.h"
+
+#include <algorithm>
+#include <map>
+#include <string>
+#include <vector>
+
+#include "core/leader/dispatch.h"
+#include "core/leader/fair_share.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/occupancy.h"
+
+namespace badgershore {
+namespace {
+
+// Time that a checkpointed task needs until it runs again: a new machine and its image.
+constexpr Micros kRestartTime = Seconds(30);
+
+// Waiting for a task that may not be preempted costs more than any preemption.
+constexpr double kWaitForEndCost = 1e4;
+constexpr double kWaitForEndFactor = 100;
+
+// An allocation that may be preempted, and the run time that is lost by it.
+struct Victim {
+  Micros lost;
+  Machine* machine;
+  Allocation* allocation;
+};
+
+bool LosesLess(const Victim& a, const Victim& b) { return a.lost < b.lost; }
+
+void RequestStop(Allocation* o) {
+  o->stop_requested = true;
+  o->grace_period =
+      o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
+}
+
+}  // namespace
+
+bool GangPreemption::MayPreempt(const Allocation& o, const Job& gang) const {
+  if (!o.job || o.job->IsGang()) return false;
+  if (o.job->spec.priority > gang.spec.priority) return true;
+  // A team's guarantee comes before what other teams use beyond theirs.
+  return gang.IsGuaranteed() && o.team != gang.team && !o.job->IsService() &&
+         fair_share().ExceedsGuaranteeWithout(o.team, o.need);
+}
+
+// A task that checkpoints loses only the time of saving and restarting.
+Micros GangPreemption::LostRunTime(Micros now, const Allocation& o) const {
+  const Micros ran =
+      std::max(Micros{}, now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at);
+  if (o.job->spec.checkpoint_interval.count == 0) return ran;
+  return std::min(ran, o.job->spec.checkpoint_duration + kRestartTime);
+}
+
+std::optional<double> GangPreemption::CostToClear(Micros now, const Machine& m, const Job& gang,
+                                                  bool after_gangs) const {
+  Resources kept = after_gangs ? Resources{} : m.GangUse();
+  double cost = 0;
+  for (const auto& [key, o] : m.allocations) {
+    if (o.exited() || (!after_gangs && o.job && o.job->IsGang())) continue;
+    const auto cpu = static_cast<double>(o.need.cpu) / 1000;
+    if (!o.job) {
+      kept = kept + o.need;  // its job is over; it is being stopped
+      continue;
+    }
+    const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
+    const double ran = std::max(0.0, (now - t.bound_at).ToSeconds());
+    if (MayPreempt(o, gang)) {
+      cost += LostRunTime(now, o).ToSeconds() * cpu;
+    } else if (o.job->IsService()) {
+      kept = kept + o.need;
+    } else {
+      cost += kWaitForEndCost + kWaitForEndFactor * cpu *
+                                    std::max(1.0, o.job->spec.estimated_runtime.ToSeconds() - ran);
+    }
+  }
+  if (!gang.spec.need.Fits(m.type->size - kept)) return std::nullopt;
+  if (!m.HasImage(gang.spec.image) && m.type->fetch_gb_per_s > 0) {
+    cost += gang.spec.image_gb / m.type->fetch_gb_per_s * static_cast<double>(gang.spec.need.cpu) /
+            1000;
+  }
+  return cost;
+}
+
+void GangPreemption::PreemptForGang(Micros now, Machine* m, const Job& gang) {
+  const Resources need = gang.spec.need.Times(m->reserved_members);
+  Resources room = m->type->size - m->Used();
+  std::vector<Victim> victims;
+  for (auto& [key, o] : m->allocations) {
+    if (o.exited()) continue;
+    if (o.stop_requested) {
+      room = room + o.need;
+    } else if (MayPreempt(o, gang)) {
+      victims.push_back({LostRunTime(now, o), m, &o});
+    }
+  }
+  std::sort(victims.begin(), victims.end(), LosesLess);
+  double lost = 0;
+  bool any = false;
+  for (const Victim& victim : victims) {
+    if (need.Fits(room)) break;
+    Allocation* o = victim.allocation;
+    RequestStop(o);
+    any = true;
+    room = room + o->need;
+    lost += victim.lost.ToSeconds() * static_cast<double>(o->need.cpu) / 1000;
+  }
+  if (!any) return;
+  asker()->Debug("clearing " + m->id + " for gang " + gang.spec.id + ", " +
+                 std::to_string(static_cast<int>(lost)) + " CPU seconds lost");
+  dispatch().Unbind(m);
+  machine_table().HaltNow(now, m);
+}
+
+void GangPreemption::PreemptForQuota(Micros now, const Job& gang) {
+  // What the gang itself claims is not missing.
+  Resources missing = occupancy().LimitShort(gang, 0);
+  std::vector<Victim> victims;
+  for (const auto& [id, m] : machine_table().machines()) {
+    for (auto& [key, o] : m->allocations) {
+      if (o.exited() || o.team != gang.team) continue;
+      if (o.stop_requested) {
+        missing = missing - o.need;
+      } else if (o.job && o.preemptible_priority > static_cast<int>(gang.spec.priority)) {
+        victims.push_back({LostRunTime(now, o), m.get(), &o});
+      }
+    }
+  }
+  std::stable_sort(victims.begin(), victims.end(), LosesLess);
+  std::map<std::string, Machine*> affected;  // by id: the order of addresses differs between runs
+  for (const Victim& victim : victims) {
+    if (missing.cpu <= 0 && missing.gpu <= 0) break;
+    RequestStop(victim.allocation);
+    missing = missing - victim.allocation->need;
+    affected[victim.machine->id] = victim.machine;
+  }
+  for (auto& [id, m] : affected) machine_table().HaltNow(now, m);
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/gang_reservations.cpp
@@ -0,0 +1,117 @@
+#include "core/leader/gang_reservations.h"
+
+#include <algorithm>
+#include <map>
+#include <utility>
+
+#include "core/leader/gang_placement.h"
+#include "core/leader/gang_preemption.h"
+#include "core/leader/machine_table.h"
+
+namespace badgershore {
+namespace {
+
+// A machine that is reserved already stays the first choice: its tasks have been stopped.
+constexpr double kReservedCost = -1;
+constexpr double kFailedMachinePenalty = 1e6;
+
+// What of the machine the gang's reservation may count on.
+Resources ReservableRoom(const Machine& m, bool prioritized) {
+  return prioritized ? m.type->size : m.type->size - m.GangUse();
+}
+
+int MembersThatFit(const Machine& m, const Job& gang, int missing, bool prioritized) {
+  return static_cast<int>(
+      std::min<int64_t>(ReservableRoom(m, prioritized).Holds(gang.spec.need), missing));
+}
+
+}  // namespace
+
+void GangReservations::ReserveFor(Micros now, Job* gang, bool prioritized) {
+  if (!election()->MayStart(now)) return;
+  const Selection selection = CheapestSelection(now, *gang, prioritized);
+  ReleaseReservation(gang);
+  gang->has_reservation = !selection.machines.empty();
+  const bool after_gangs = Reserve(selection, *gang, prioritized);
+  for (const Candidate& c : selection.machines) {
+    c.machine->reserved_after_gangs = after_gangs;
+    if (!after_gangs) gang_preemption().PreemptForGang(now, c.machine, *gang);
+  }
+}
+
+GangReservations::Selection GangReservations::CheapestSelection(Micros now, const Job& gang,
+                                                                bool prioritized) const {
+  Selection best;
+  for (const std::string& zone : CandidateZones(gang.spec, settings())) {
+    std::optional<Selection> selection =
+        Select(gang, Candidates(now, gang, zone, prioritized), prioritized);
+    if (!selection) continue;
+    if (best.machines.empty() || selection->cost < best.cost) best = std::move(*selection);
+  }
+  return best;
+}
+
+// The machines of the zone (empty: of all) that may be reserved, cheapest first.
+std::vector<GangReservations::Candidate> GangReservations::Candidates(Micros now, const Job& gang,
+                                                                      const std::string& zone,
+                                                                      bool prioritized) const {
+  std::vector<Candidate> candidates;
+  for (auto& [id, m] : machine_table().machines()) {
+    if (!machine_table().Ready(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot)) continue;
+    if (!zone.empty() && m->zone != zone) continue;
+    if (m->reserved_for && m->reserved_for != &gang) continue;
+    std::optional<double> cost = gang_preemption().CostToClear(now, *m, gang, prioritized);
+    if (!cost) continue;
+    if (m->reserved_for == &gang) *cost = kReservedCost;
+    if (m->failed_jobs.count(gang.spec.id)) *cost += kFailedMachinePenalty;
+    candidates.push_back({m.get(), *cost});
+  }
+  std::sort(candidates.begin(), candidates.end(),
+            [](const Candidate& a, const Candidate& b) { return a.cost < b.cost; });
+  return candidates;
+}
+
+// The first candidates that hold all missing members together; empty if they can't.
+std::optional<GangReservations::Selection> GangReservations::Select(
+    const Job& gang, const std::vector<Candidate>& candidates, bool prioritized) const {
+  Selection selection;
+  std::map<std::string, int> members_in_zone;
+  int members = 0;
+  for (const Candidate& c : candidates) {
+    if (members >= gang.remaining()) break;
+    int& zone_members = members_in_zone[c.machine->zone];
+    if (gang.spec.spread && zone_members >= (gang.spec.tasks + 1) / 2) continue;
+    const int fitting = MembersThatFit(*c.machine, gang, gang.remaining() - members, prioritized);
+    members += fitting;
+    zone_members += fitting;
+    selection.cost += c.cost;
+    selection.machines.push_back(c);
+  }
+  if (members < gang.remaining()) return std::nullopt;
+  return selection;
+}
+
+// Returns whether some of the machines are not free of other gangs yet.
+bool GangReservations::Reserve(const Selection& selection, const Job& gang, bool prioritized) {
+  int members = 0;
+  bool after_gangs = false;
+  for (const Candidate& c : selection.machines) {
+    Machine* m = c.machine;
+    m->reserved_for = &gang;
+    m->reserved_members = MembersThatFit(*m, gang, gang.remaining() - members, prioritized);
+    members += m->reserved_members;
+    after_gangs |= !gang.spec.need.Times(m->reserved_members).Fits(m->type->size - m->GangUse());
+  }
+  return after_gangs;
+}
+
+void GangReservations::ReleaseReservation(Job* gang) {
+  if (!std::exchange(gang->has_reservation, false)) return;
+  for (auto& [id, m] : machine_table().machines()) {
+    if (m->reserved_for != gang) continue;
+    m->reserved_for = nullptr;
+    m->reserved_members = 0;
+  }
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/gang_scheduler.cpp
@@ -0,0 +1,129 @@
+#include "core/leader/gang_scheduler.h"
+
+#include <algorithm>
+
+#include "core/leader/gang_placement.h"
+#include "core/leader/gang_preemption.h"
+#include "core/leader/gang_reservations.h"
+#include "core/leader/job_table.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/occupancy.h"
+#include "core/placement/autoscale.h"
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kQuotaPreemptionInterval = Seconds(1);
+
+}  // namespace
+
+void GangScheduler::Tick(Micros now) {
+  const GangOrder order = gang_queue().Order(now);
+  std::vector<Job*> waiting;
+  occupancy().DropClaims();
+  for (Job* gang : order.gangs) {
+    const bool prioritized = order.IsPrioritized(gang);
+    const bool was_unplaced = gang->placed == 0;
+    AdvanceAttempt(now, gang);
+    if (was_unplaced && gang->placed > 0) gang_queue().RecordStart(now, *gang, prioritized);
+    if (!NeedsMachines(now, *gang)) {
+      gang_reservations().ReleaseReservation(gang);
+    } else if (CheckQuota(now, gang, prioritized)) {
+      waiting.push_back(gang);
+    }
+  }
+  for (Job* gang : waiting) {
+    gang_reservations().ReserveFor(now, gang, order.IsPrioritized(gang));
+  }
+  PreemptForBlockedGang(now, waiting);
+}
+
+void GangScheduler::AdvanceAttempt(Micros now, Job* gang) {
+  scaler().NoteGang(gang->spec, now);
+  if (gang->placed == 0) {
+    // Every member is proved gone; the next attempt is a new one.
+    gang->gang_attempt = 0;
+    gang->gang_attempt_ran = gang->gang_stopping = false;
+    if (now >= gang->backoff_until && !machine_table().Held(*gang)) {
+      gang_placement().Place(now, gang);
+    }
+    return;
+  }
+  if (gang->gang_stopping || gang->placed == gang->remaining()) return;
+  // A member is missing. Before the gang has run a replacement completes it; afterwards the others
+  // have nothing to wait for.
+  if (gang->gang_attempt_ran) return StopGang(now, gang, {});
+  if (!machine_table().Held(*gang)) gang_placement().Place(now, gang);
+}
+
+// A faulty gang gets no machines reserved: nothing else is stopped for it.
+bool GangScheduler::NeedsMachines(Micros now, const Job& gang) const {
+  return gang.placed == 0 && now >= gang.backoff_until && !machine_table().Held(gang) &&
+         !gang.IsFaulty();
+}
+
+// Whether the gang's team may run it, now or once work of lower rank has made room; claims that
+// room.
+bool GangScheduler::CheckQuota(Micros now, Job* gang, bool prioritized) {
+  const bool allowed = occupancy().LimitAllows(*gang, gang->remaining());
+  const bool attainable = allowed || occupancy().LimitCouldAllow(*gang, gang->remaining());
+  if (attainable) {
+    gang->quota_blocked_since = allowed ? kNever : std::min(gang->quota_blocked_since, now);
+  } else {
+    gang_reservations().ReleaseReservation(gang);  // reserved machines would stay empty
+    gang->quota_blocked_since = kNever;
+  }
+  // A prioritized gang also keeps its quota while its machines are being cleared.
+  if (!allowed || prioritized) occupancy().Claim(*gang, gang->remaining());
+  return attainable;
+}
+
+// For one gang at a time: the first that its team's limit has blocked for longer than the limit
+// patience.
+void GangScheduler::PreemptForBlockedGang(Micros now, const std::vector<Job*>& waiting) {
+  if (now < next_quota_preemption_at_) return;
+  next_quota_preemption_at_ = now + kQuotaPreemptionInterval;
+  for (const Job* gang : waiting) {
+    if (gang->quota_blocked_since < kNever &&
+        now - gang->quota_blocked_since > options().limit_patience) {
+      gang_preemption().PreemptForQuota(now, *gang);
+      break;
+    }
+  }
+}
+
+void GangScheduler::StopGang(Micros now, Job* gang, Micros grace) {
+  for (auto& [id, m] : machine_table().machines()) {
+    if (StopMembersOn(now, m.get(), gang, grace)) machine_table().HaltNow(now, m.get());
+  }
+  gang->gang_stopping = true;
+}
+
+// Returns whether the machine has members to be told.
+bool GangScheduler::StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace) {
+  bool any = false;
+  for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+    Allocation& o = it->second;
+    if (o.job == gang && o.start_unsent) {
+      const int task = o.ref.task;
+      const uint64_t attempt = o.attempt;
+      it = occupancy().Erase(m, it);
+      const TaskState& t = gang->tasks[static_cast<size_t>(task)];
+      if (t.stage == TaskStage::kPlaced && t.machine == m && t.attempt == attempt) {
+        job_table().RequeueTask(now, gang, task, {});
+      }
+      continue;
+    }
+    if (o.job == gang && !o.exited() && !o.stop_requested) {
+      o.stop_requested = true;
+      o.grace_period = grace;
+      any = true;
+    }
+    ++it;
+  }
+  return any;
+}
+
+void GangScheduler::Remove(Job* gang) { gang_reservations().ReleaseReservation(gang); }
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/gang_scheduler.h
@@ -0,0 +1,36 @@
+// The scheduling loop of gangs.
+#pragma once
+
+#include <vector>
+
+#include "core/leader/gang_queue.h"
+#include "core/leader/part.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+// Serves the gangs in the order of GangQueue: starts and ends their attempts, reserves machines for
+// those that wait and preempts for those that their team's limit blocks.
+class GangScheduler : public Part {
+ public:
+  using Part::Part;
+
+  void Tick(Micros now);
+  // Ends the gang's attempt: withdraws members whose start has not been sent and stops the others
+  // within `grace`. All are told at once, since a member's checkpoint counts only while its peers
+  // still wait for it.
+  void StopGang(Micros now, Job* gang, Micros grace);
+  // The gang is over.
+  void Remove(Job* gang);
+
+ private:
+  void AdvanceAttempt(Micros now, Job* gang);
+  bool NeedsMachines(Micros now, const Job& gang) const;
+  bool CheckQuota(Micros now, Job* gang, bool prioritized);
+  void PreemptForBlockedGang(Micros now, const std::vector<Job*>& waiting);
+  bool StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace);
+
+  Micros next_quota_preemption_at_;
+};
+
+}  // namespace badgershore
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -1,7 +1,7 @@
 #include "core/leader/job_table.h"
 
 #include "core/leader/fair_share.h"
-#include "core/leader/gangs.h"
+#include "core/leader/gang_scheduler.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/recorder.h"
@@ -116,7 +116,7 @@
   if (it == jobs_.end()) return;
   Job* job = it->second.get();
   CloseJob(now, job);
-  if (job->IsGang()) gangs().Remove(job);
+  if (job->IsGang()) gang_scheduler().Remove(job);
   fair_share().Remove(job);
   asker()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
   jobs_.erase(it);
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -29,7 +29,11 @@
       occupancy_(&context_),
       machine_table_(&context_),
       dispatch_(&context_),
-      gangs_(&context_),
+      gang_placement_(&context_),
+      gang_preemption_(&context_),
+      gang_queue_(&context_),
+      gang_reservations_(&context_),
+      gang_scheduler_(&context_),
       recorder_(&context_, now),
       provisioner_(&context_),
       rights_(&context_),
@@ -44,7 +48,11 @@
   context_.occupancy = &occupancy_;
   context_.machine_table = &machine_table_;
   context_.dispatch = &dispatch_;
-  context_.gangs = &gangs_;
+  context_.gang_placement = &gang_placement_;
+  context_.gang_preemption = &gang_preemption_;
+  context_.gang_queue = &gang_queue_;
+  context_.gang_reservations = &gang_reservations_;
+  context_.gang_scheduler = &gang_scheduler_;
   context_.recorder = &recorder_;
   context_.provisioner = &provisioner_;
   context_.rights = &rights_;
@@ -161,7 +169,7 @@
   fair_share_.Tick(now);
   stuck_job_detector_.Tick(now);
   job_table_.UpdateSmallestNeed();
-  gangs_.Tick(now);
+  gang_scheduler_.Tick(now);
   dispatch_.HoldMachinesForUnstartedJobs(now);
   dispatch_.BindWaiting(now);
   checkins_.AnswerReady(now);
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -12,7 +12,11 @@
 #include "core/leader/checkins.h"
 #include "core/leader/dispatch.h"
 #include "core/leader/fair_share.h"
-#include "core/leader/gangs.h"
+#include "core/leader/gang_placement.h"
+#include "core/leader/gang_preemption.h"
+#include "core/leader/gang_queue.h"
+#include "core/leader/gang_reservations.h"
+#include "core/leader/gang_scheduler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
@@ -90,7 +94,11 @@
   Occupancy occupancy_;
   MachineTable machine_table_;
   Dispatch dispatch_;
-  Gangs gangs_;
+  GangPlacement gang_placement_;
+  GangPreemption gang_preemption_;
+  GangQueue gang_queue_;
+  GangReservations gang_reservations_;
+  GangScheduler gang_scheduler_;
   Recorder recorder_;
   Provisioner provisioner_;
   Rights rights_;
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -4,7 +4,7 @@
 #include "core/leader/blame.h"
 #include "core/leader/checkins.h"
 #include "core/leader/dispatch.h"
-#include "core/leader/gangs.h"
+#include "core/leader/gang_scheduler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/provisioner.h"
@@ -459,7 +459,7 @@
       }
       if (halts) HaltNow(now, m);
       for (auto& [job_id, job] : saved_whole)
-        gangs().StopGang(now, job, job->spec.checkpoint_duration);
+        gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
     }
   }
   for (auto it = tombstones_.begin(); it != tombstones_.end();) {
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -20,7 +20,11 @@
 class JobTable;
 class Checkins;
 class Dispatch;
-class Gangs;
+class GangPlacement;
+class GangPreemption;
+class GangQueue;
+class GangReservations;
+class GangScheduler;
 class Occupancy;
 class Recorder;
 class Provisioner;
@@ -47,7 +51,11 @@
   JobTable* job_table = nullptr;
   Checkins* checkins = nullptr;
   Dispatch* dispatch = nullptr;
-  Gangs* gangs = nullptr;
+  GangPlacement* gang_placement = nullptr;
+  GangPreemption* gang_preemption = nullptr;
+  GangQueue* gang_queue = nullptr;
+  GangReservations* gang_reservations = nullptr;
+  GangScheduler* gang_scheduler = nullptr;
   Occupancy* occupancy = nullptr;
   Recorder* recorder = nullptr;
   Provisioner* provisioner = nullptr;
@@ -79,7 +87,11 @@
   JobTable& job_table() const { return *context_->job_table; }
   Checkins& checkins() const { return *context_->checkins; }
   Dispatch& dispatch() const { return *context_->dispatch; }
-  Gangs& gangs() const { return *context_->gangs; }
+  GangPlacement& gang_placement() const { return *context_->gang_placement; }
+  GangPreemption& gang_preemption() const { return *context_->gang_preemption; }
+  GangQueue& gang_queue() const { return *context_->gang_queue; }
+  GangReservations& gang_reservations() const { return *context_->gang_reservations; }
+  GangScheduler& gang_scheduler() const { return *context_->gang_scheduler; }
   Occupancy& occupancy() const { return *context_->occupancy; }
   Recorder& recorder() const { return *context_->recorder; }
   Provisioner& provisioner() const { return *context_->provisioner; }
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -1,7 +1,7 @@
 #include "core/leader/stuck_job_detector.h"
 
 #include "core/leader/dispatch.h"
-#include "core/leader/gangs.h"
+#include "core/leader/gang_scheduler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
@@ -87,7 +87,7 @@
     // is proved gone. One that runs may just take long.
     if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
       asker()->Info("stuck: " + id + " is stopped and tried again");
-      gangs().StopGang(now, job, job->spec.checkpoint_duration);
+      gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
     }
   }
 }
