--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -103,9 +103,9 @@
     QueueEntry& entry = it->second;
     Job* job = entry.job;
     while (!entry.tasks.empty()) {
-      const TaskState& t = job->tasks[static_cast<size_t>(entry.tasks.front().first)];
+      const TaskState& t = job->tasks[static_cast<size_t>(entry.tasks.front().task)];
       if (t.stage == TaskStage::kQueued && t.machine == m &&
-          t.bound_at == entry.tasks.front().second) {
+          t.bound_at == entry.tasks.front().bound_at) {
         break;
       }
       entry.tasks.pop_front();
@@ -132,24 +132,24 @@
     best_start_priority = start_priority;
   }
   if (!best) return false;
-  const int task = best->tasks.front().first;
+  const int task = best->tasks.front().task;
   best->tasks.pop_front();
   StartTask(now, m, best->job, task, used, orders);
   return true;
 }
 
 // The oldest queued task that has waited long enough to move; null: none has.
-const std::pair<int, Micros>* Dispatch::NextRebindable(Micros now, Job* job) const {
+const QueuedTask* Dispatch::NextRebindable(Micros now, Job* job) const {
   if (job->queued == 0) return nullptr;
   while (!job->bound.empty()) {
-    const TaskState& t = job->tasks[static_cast<size_t>(job->bound.front().first)];
-    if (t.stage == TaskStage::kQueued && t.bound_at == job->bound.front().second) break;
+    const TaskState& t = job->tasks[static_cast<size_t>(job->bound.front().task)];
+    if (t.stage == TaskStage::kQueued && t.bound_at == job->bound.front().bound_at) break;
     job->bound.pop_front();
   }
   // Where machines are retired and kept in turns its tasks are bound anew again and again; one that
   // has not begun does not wait for that.
   const Micros wait = job->IsUnstarted(now, options().age_limit) ? Micros{} : options().rebind_wait;
-  if (job->bound.empty() || now - job->bound.front().second < wait) return nullptr;
+  if (job->bound.empty() || now - job->bound.front().bound_at < wait) return nullptr;
   return &job->bound.front();
 }
 
@@ -162,7 +162,7 @@
 
 void Dispatch::RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
                               std::vector<Command>* orders) {
-  const int task = job->bound.front().first;
+  const int task = job->bound.front().task;
   job->bound.pop_front();
   m->dispatched_work[static_cast<size_t>(job->bucket)] +=
       NormalizedWork(job->spec, m->type->size - m->GangUse());
@@ -227,12 +227,12 @@
   t.machine = m;
   t.bound_at = now;
   ++job->queued;
-  job->bound.emplace_back(task, now);
+  job->bound.push_back({task, now});
   m->dispatched_work[static_cast<size_t>(job->bucket)] += NormalizedWork(job->spec, able.open);
   QueueEntry& entry =
       m->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
   entry.job = job;
-  entry.tasks.emplace_back(task, now);
+  entry.tasks.push_back({task, now});
   m->idle_since = {-1};
 }
 
@@ -315,12 +315,12 @@
 void Dispatch::Unbind(Machine* m) {
   for (auto& [key, entry] : m->queue) {
     for (auto it = entry.tasks.rbegin(); it != entry.tasks.rend(); ++it) {
-      TaskState& t = entry.job->tasks[static_cast<size_t>(it->first)];
-      if (t.stage != TaskStage::kQueued || t.machine != m || t.bound_at != it->second) continue;
+      TaskState& t = entry.job->tasks[static_cast<size_t>(it->task)];
+      if (t.stage != TaskStage::kQueued || t.machine != m || t.bound_at != it->bound_at) continue;
       t.stage = TaskStage::kWaiting;
       t.machine = nullptr;
       --entry.job->queued;
-      entry.job->waiting.push_front(it->first);
+      entry.job->waiting.push_front(it->task);
     }
   }
   m->queue.clear();
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -30,7 +30,7 @@
   void Bind(Micros now, Job* job, int task, const EligibleMachine& able);
   bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
   bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  const std::pair<int, Micros>* NextRebindable(Micros now, Job* job) const;
+  const QueuedTask* NextRebindable(Micros now, Job* job) const;
   bool CanStartOn(Micros now, const Job& job, const Machine& m, const Resources& used) const;
   void RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
                       std::vector<Command>* orders);
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -23,7 +23,7 @@
 FairShare::FairShare(const LeaderContext* context)
     : Part(context),
       shares_(settings().teams.size()),
-      stopped_(settings().teams.size()),
+      preempted_(settings().teams.size()),
       stopping_(settings().teams.size()) {}
 
 int FairShare::ComparePrecedence(const Job& a, const Job& b) const {
@@ -184,11 +184,8 @@
     if (m->held_for == job) missing -= m->held_tasks;
   }
   if (missing <= 0 || machine_table().Held(*job) || !occupancy().LimitAllows(*job, 1)) return;
-  auto& [stopped, since] = stopped_[static_cast<size_t>(job->team)];
-  if (now - since >= kPreemptionWindow) {
-    stopped = 0;
-    since = now;
-  }
+  PreemptedCpu& preempted = preempted_[static_cast<size_t>(job->team)];
+  if (now - preempted.window_start >= kPreemptionWindow) preempted = {0, now};
   const int64_t most =
       std::max(job->spec.need.cpu,
                static_cast<int64_t>(static_cast<double>(occupancy().Guarantee(job->team).cpu) *
@@ -205,7 +202,7 @@
       whole = whole && ExceedsGuaranteeWithout(o->team, o->need);
       save = std::max(save, o->job->spec.checkpoint_duration);
     }
-    if (!whole || (cpu > 0 && stopped + cpu > most)) continue;
+    if (!whole || (cpu > 0 && preempted.cpu + cpu > most)) continue;
     for (Allocation* o : place.victims) {
       o->stop_requested = true;
       o->grace_period =
@@ -214,7 +211,7 @@
       r = r + o->need;
       ++told;
     }
-    stopped += cpu;
+    preempted.cpu += cpu;
     const int holds = std::min(place.tasks, missing);
     place.machine->held_for = job;
     place.machine->held_tasks = holds;
--- a/src/core/leader/fair_share.h
+++ b/src/core/leader/fair_share.h
@@ -35,6 +35,11 @@
     double cost = 0;  // of each
     std::vector<Allocation*> victims;
   };
+  // Preempted for a team's guarantee within the current window.
+  struct PreemptedCpu {
+    int64_t cpu = 0;  // in thousandths of a core
+    Micros window_start;
+  };
   void UpdateShares(Micros now);
   void ReclaimGuarantee(Micros now, Job* job);
   std::vector<PreemptionOption> FindOptions(Micros now, const Job& job, int tasks) const;
@@ -42,9 +47,8 @@
 
   std::vector<Share> shares_;  // by team's number
   std::vector<Job*> preferred_jobs_;
-  // What was stopped for each team's guarantee of late: CPU, and since when it is counted.
-  std::vector<std::pair<int64_t, Micros>> stopped_;
-  std::vector<Resources> stopping_;  // of each team, told to stop and still there
+  std::vector<PreemptedCpu> preempted_;  // by team
+  std::vector<Resources> stopping_;      // of each team, told to stop and still there
   Micros next_tick_at_;
 };
 
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -52,8 +52,8 @@
     if (o.kind == "finished" && spec.kind == JobKind::kArray) {
       // Estimates are often wrong by half; what can't be in time any more has no claim.
       const Micros by = job->submitted_at + o.within;
-      job->objective_windows.emplace_back(by - spec.estimated_runtime.Scaled(1.5) - Seconds(10),
-                                          by - spec.estimated_runtime.Scaled(0.8));
+      job->objective_windows.push_back({by - spec.estimated_runtime.Scaled(1.5) - Seconds(10),
+                                        by - spec.estimated_runtime.Scaled(0.8)});
     }
   }
   smallest_need_ = jobs_.empty() ? spec.need : ElementwiseMin(smallest_need_, spec.need);
--- a/src/core/model/fleet.h
+++ b/src/core/model/fleet.h
@@ -8,12 +8,11 @@
 #include <vector>
 
 #include "core/model/effects.h"
+#include "core/model/jobs.h"
 #include "core/model/types.h"
 
 namespace badgershore {
 
-struct Job;
-
 // A task on a machine, or one that may be there.
 struct Allocation {
   TaskRef ref;
@@ -35,7 +34,7 @@
 
 struct QueueEntry {
   Job* job = nullptr;
-  std::deque<std::pair<int, Micros>> tasks;  // (task, bound_at); valid while the task agrees
+  std::deque<QueuedTask> tasks;
 };
 struct QueueKey {
   Priority priority;
--- a/src/core/model/jobs.h
+++ b/src/core/model/jobs.h
@@ -31,15 +31,25 @@
   uint64_t attempt = 0;
 };
 
+// A task in a machine's queue. Out of date once the task's state differs from it.
+struct QueuedTask {
+  int task = 0;
+  Micros bound_at;
+};
+
+// When a task has to start to meet an objective.
+struct StartWindow {
+  Micros from, until;
+};
+
 struct Job {
   JobSpec spec;
   uint64_t version = 0;  // version of its durable record
   Micros submitted_at;   // on the leader's steady clock, from the time of day at submission
   int bucket = 0;
-  int team = -1;             // its number in the settings
-  Micros start_by = kNever;  // by its lane's objective
-  // When a task of it has to start to be done by one of its lane's aims: from, until.
-  std::vector<std::pair<Micros, Micros>> objective_windows;
+  int team = -1;                               // its number in the settings
+  Micros start_by = kNever;                    // by its lane's objective
+  std::vector<StartWindow> objective_windows;  // one for each objective of its class
   std::vector<TaskState> tasks;
   int done = 0;
   int placed = 0;
@@ -50,9 +60,9 @@
   bool finishing = false;                 // all done, the end is being written
   bool cancel_pending = false;            // its cancellation is being recorded, says a node
 
-  std::deque<int> waiting;                   // may hold tasks that have left kWaiting
-  std::deque<std::pair<int, Micros>> bound;  // (task, bound_at), oldest first
-  std::multimap<Micros, int> delayed;        // after failures
+  std::deque<int> waiting;             // may hold tasks that have left kWaiting
+  std::deque<QueuedTask> bound;        // oldest first
+  std::multimap<Micros, int> delayed;  // after failures
   int queued = 0;
 
   Micros progressed_at;    // a task was started, came back or was done
