--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -1,6 +1,9 @@
-// Machines' queues, starts, and the paper's dispatch of waiting tasks.
 #include "core/leader/dispatch.h"
 
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
 #include "core/leader/blame.h"
 #include "core/leader/fair_share.h"
 #include "core/leader/job_table.h"
@@ -9,27 +12,69 @@
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
+namespace {
+
+// Start priorities: an unstarted job's first task goes before aged jobs, or a large old job would
+// keep all others from starting under overload.
+constexpr int kNormalStart = 0;
+constexpr int kAgedStart = 1;
+constexpr int kUnstartedStart = 2;
+
+// Start commands in one answer, which has to stay far below 64 KiB.
+constexpr size_t kMaxCommands = 300;
+
+// Machines looked at while binding, at once and per second. A leader that bound all work of a large
+// fleet in one go after a takeover would lose its lease; with hundreds of reports a second the
+// limit at once alone would still let it spend all its time on binding.
+constexpr double kBindBudget = 20000;
+constexpr double kBindBudgetPerSecond = 400000;
+
+constexpr Micros kHoldInterval = Seconds(1);
+constexpr Micros kHoldDuration = Seconds(3);
+
+// A job whose deadline leaves less than this part of its estimate can't meet it any more.
+constexpr double kDeadlineEstimateFactor = 0.8;
+
+bool IsCurrent(const QueuedTask& queued, const Job& job, const Machine* m) {
+  const TaskState& t = job.tasks[static_cast<size_t>(queued.task)];
+  return t.stage == TaskStage::kQueued && t.machine == m && t.bound_at == queued.bound_at;
+}
+
+// Drops tasks that have left the machine's queue meanwhile.
+void DropStaleTasks(const Machine* m, QueueEntry* entry) {
+  while (!entry->tasks.empty() && !IsCurrent(entry->tasks.front(), *entry->job, m)) {
+    entry->tasks.pop_front();
+  }
+}
+
+void EndDelays(Micros now, Job* job) {
+  while (!job->delayed.empty() && job->delayed.begin()->first <= now) {
+    job->waiting.push_back(job->delayed.begin()->second);
+    job->delayed.erase(job->delayed.begin());
+  }
+}
+
+}  // namespace
 
 Resources Dispatch::RoomFor(const Machine& m, const Job& job, const Resources& used,
                             Micros now) const {
   Resources room = m.type->size - used;
-  // Room made for a guarantee is that job's.
   if (m.held_for && m.held_for != &job && now < m.held_until) {
     room = room - m.held_for->spec.need.Times(m.held_tasks);
   }
   if (job.IsGang() || !m.reserved_for) return room;
-  // Where a waiting gang is to go, other work of no higher rank leaves it its room.
+  // Work of no higher priority leaves a waiting gang its reserved room.
   const Job& gang = *m.reserved_for;
   if (m.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
-  const bool first =
+  const bool gang_first =
       gang.spec.priority <= job.spec.priority || now - gang.submitted_at > options().age_limit;
-  return first ? room - gang.spec.need.Times(m.reserved_members) : room;
+  return gang_first ? room - gang.spec.need.Times(m.reserved_members) : room;
 }
 
 void Dispatch::StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
                          std::vector<Command>* orders) {
   --job->queued;
-  if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;  // the room is taken
+  if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;
   const uint64_t attempt = occupancy().NextAttempt();
   occupancy().Place(now, m, job, task, attempt);
   *used = *used + job->spec.need;
@@ -38,9 +83,8 @@
 
 void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders) {
   Resources used = m->Used();
-  // A report's answer stays far below 64 KiB; the rest goes with the next one.
-  while (orders->size() < 300) {
-    // A full machine is the usual case when there is much to do: no look at every queue for it.
+  while (orders->size() < kMaxCommands) {
+    // Under load most machines are full: this saves looking at every queue for them.
     if (!job_table().smallest_need().Fits(m->type->size - used)) break;
     if (StartPreferred(now, m, &used, orders)) continue;
     if (StartQueued(now, m, &used, orders)) continue;
@@ -49,21 +93,27 @@
   }
 }
 
-// Past the age limit the oldest goes first, and where more waits than there is room for, a large
-// old job would keep all others from beginning: the first task of one that has not begun goes
-// before.
 int Dispatch::StartPriority(Micros now, const Job& job) const {
-  if (job.IsUnstarted(now, options().age_limit)) return 2;
-  return job.IsAged(now, options().age_limit) ? 1 : 0;
+  if (job.IsUnstarted(now, options().age_limit)) return kUnstartedStart;
+  return job.IsAged(now, options().age_limit) ? kAgedStart : kNormalStart;
 }
 
-// A task that needs much of a machine never finds it empty enough where small ones come all the
-// time. For one job of each team and kind of machine, the oldest that has not begun, a machine
-// leaves free what becomes free, until its first task is there.
+// A task that needs much of a machine never finds it empty enough while small ones keep coming.
 void Dispatch::HoldMachinesForUnstartedJobs(Micros now) {
   if (now < next_hold_at_) return;
-  next_hold_at_ = now + Seconds(1);
-  std::map<int, Job*> oldest;  // by team
+  next_hold_at_ = now + kHoldInterval;
+  for (const auto& [team, job] : OldestUnstartedJobs(now)) {
+    Machine* m = MachineToHold(now, *job);
+    if (!m) continue;
+    m->held_for = job;
+    m->held_tasks = 1;
+    m->held_until = now + kHoldDuration;
+  }
+}
+
+// By team.
+std::map<int, Job*> Dispatch::OldestUnstartedJobs(Micros now) const {
+  std::map<int, Job*> oldest;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
     if (job->IsGang() || job->queued == 0 || !job->IsUnstarted(now, options().age_limit)) continue;
@@ -71,86 +121,82 @@
     Job*& first = oldest[job->team];
     if (!first || job->submitted_at < first->submitted_at) first = job;
   }
-  for (const auto& [team, job] : oldest) {
-    Machine* best = nullptr;
-    for (const auto& [id, m] : machine_table().machines()) {
-      if (m->held_for == job && now < m->held_until) {
-        best = m.get();
-        break;
-      }
-      if (!machine_table().Ready(*m, now) || m->reserved_for ||
-          (m->held_for && now < m->held_until) || !Allows(job->spec, *m->type, m->zone, m->spot) ||
-          !occupancy().ZoneAllows(*job, m->zone) ||
-          !job->spec.need.Fits(m->type->size - m->GangUse())) {
-        continue;
-      }
-      const auto room = [](const Machine& on) { return (on.type->size - on.Used()).cpu; };
-      if (!best || room(*m) > room(*best)) best = m.get();
+  return oldest;
+}
+
+// The machine that is held for the job already, else the one with most free CPU; null: none.
+Machine* Dispatch::MachineToHold(Micros now, const Job& job) const {
+  const auto free_cpu = [](const Machine& m) { return (m.type->size - m.Used()).cpu; };
+  Machine* best = nullptr;
+  for (const auto& [id, m] : machine_table().machines()) {
+    if (m->held_for == &job && now < m->held_until) return m.get();
+    if (!machine_table().Ready(*m, now) || m->reserved_for ||
+        (m->held_for && now < m->held_until) || !Allows(job.spec, *m->type, m->zone, m->spot) ||
+        !occupancy().ZoneAllows(job, m->zone) ||
+        !job.spec.need.Fits(m->type->size - m->GangUse())) {
+      continue;
     }
-    if (!best) continue;
-    best->held_for = job;
-    best->held_tasks = 1;
-    best->held_until = now + Seconds(3);
+    if (!best || free_cpu(*m) > free_cpu(*best)) best = m.get();
   }
+  return best;
 }
 
-// The machine's smallest waiting estimate that fits; higher ranks before lower ones, and what has
-// waited past the age limit before all, the oldest first.
-bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+// Whether `a` leaves a machine's queue before `b`, which is no longer in estimate than `a`.
+bool Dispatch::StartsBefore(Micros now, const Job& a, const Job& b) const {
+  const int precedence = fair_share().ComparePrecedence(a, b);
+  if (precedence != 0) return precedence > 0;
+  const int priority_a = StartPriority(now, a);
+  const int priority_b = StartPriority(now, b);
+  if (priority_a != priority_b) return priority_a > priority_b;
+  return priority_a != kNormalStart && a.submitted_at < b.submitted_at;
+}
+
+// The entry whose first task starts next on the machine; null: none fits. Higher ranks go before
+// lower ones, aged jobs before others, then the shortest estimate.
+QueueEntry* Dispatch::NextQueued(Micros now, Machine* m, const Resources& used) {
   QueueEntry* best = nullptr;
-  int best_start_priority = 0;
   for (auto it = m->queue.begin(); it != m->queue.end();) {
     QueueEntry& entry = it->second;
-    Job* job = entry.job;
-    while (!entry.tasks.empty()) {
-      const TaskState& t = job->tasks[static_cast<size_t>(entry.tasks.front().task)];
-      if (t.stage == TaskStage::kQueued && t.machine == m &&
-          t.bound_at == entry.tasks.front().bound_at) {
-        break;
-      }
-      entry.tasks.pop_front();
-    }
+    const Job& job = *entry.job;
+    DropStaleTasks(m, &entry);
     if (entry.tasks.empty()) {
       it = m->queue.erase(it);
       continue;
     }
     ++it;
-    const int start_priority = StartPriority(now, *job);
-    // The queue is in order of estimate, so among the others the first that fits stays.
-    const int before = best ? fair_share().ComparePrecedence(*job, *best->job) : 1;
-    const bool better =
-        before > 0 ||
-        (before == 0 && (start_priority > best_start_priority ||
-                         (start_priority > 0 && start_priority == best_start_priority &&
-                          job->submitted_at < best->job->submitted_at)));
-    if (!better || !occupancy().LimitAllows(*job, 1)) continue;
-    if (!job->spec.need.Fits(RoomFor(*m, *job, *used, now)) || machine_table().Held(*job) ||
-        !occupancy().ZoneAllows(*job, m->zone)) {
+    // The queue is in order of estimate: among equals the first that fits stays.
+    if (best && !StartsBefore(now, job, *best->job)) continue;
+    if (!occupancy().LimitAllows(job, 1)) continue;
+    if (!job.spec.need.Fits(RoomFor(*m, job, used, now)) || machine_table().Held(job) ||
+        !occupancy().ZoneAllows(job, m->zone)) {
       continue;
     }
     best = &entry;
-    best_start_priority = start_priority;
   }
-  if (!best) return false;
-  const int task = best->tasks.front().task;
-  best->tasks.pop_front();
-  StartTask(now, m, best->job, task, used, orders);
+  return best;
+}
+
+bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+  QueueEntry* entry = NextQueued(now, m, *used);
+  if (!entry) return false;
+  const int task = entry->tasks.front().task;
+  entry->tasks.pop_front();
+  StartTask(now, m, entry->job, task, used, orders);
   return true;
 }
 
-// The oldest queued task that has waited long enough to move; null: none has.
-const QueuedTask* Dispatch::NextRebindable(Micros now, Job* job) const {
-  if (job->queued == 0) return nullptr;
+// Whether the job's oldest queued task has waited long enough to move to another machine.
+bool Dispatch::HasRebindableTask(Micros now, Job* job) const {
+  if (job->queued == 0) return false;
   while (!job->bound.empty()) {
-    const TaskState& t = job->tasks[static_cast<size_t>(job->bound.front().task)];
-    if (t.stage == TaskStage::kQueued && t.bound_at == job->bound.front().bound_at) break;
+    const QueuedTask& oldest = job->bound.front();
+    const TaskState& t = job->tasks[static_cast<size_t>(oldest.task)];
+    if (t.stage == TaskStage::kQueued && t.bound_at == oldest.bound_at) break;
     job->bound.pop_front();
   }
-  // Where machines are retired and kept in turns its tasks are bound anew again and again; one that
-  // has not begun does not wait for that.
+  // An unstarted job doesn't wait: where machines come and go its tasks are bound again and again.
   const Micros wait = job->IsUnstarted(now, options().age_limit) ? Micros{} : options().rebind_wait;
-  if (job->bound.empty() || now - job->bound.front().bound_at < wait) return nullptr;
-  return &job->bound.front();
+  return !job->bound.empty() && now - job->bound.front().bound_at >= wait;
 }
 
 bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& m,
@@ -169,20 +215,19 @@
   StartTask(now, m, job, task, used, orders);
 }
 
-// What is within a guarantee, or of a team that has less than its share, does not wait for its own
-// machine's turn: it moves to any that has room, before that machine's queue.
+// Tasks within a guarantee, or of a team below its share, start before the machine's own queue and
+// wherever there is room.
 bool Dispatch::StartPreferred(Micros now, Machine* m, Resources* used,
                               std::vector<Command>* orders) {
+  const auto order = [](const Job* j) {
+    return std::make_tuple(j->spec.priority, j->submitted_at);
+  };
   Job* best = nullptr;
   for (Job* job : fair_share().preferred_jobs()) {
-    if (!NextRebindable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
+    if (!HasRebindableTask(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
     if (best) {
-      const int before = fair_share().ComparePrecedence(*job, *best);
-      if (before < 0 ||
-          (before == 0 && std::make_tuple(job->spec.priority, job->submitted_at) >=
-                              std::make_tuple(best->spec.priority, best->submitted_at))) {
-        continue;
-      }
+      const int precedence = fair_share().ComparePrecedence(*job, *best);
+      if (precedence < 0 || (precedence == 0 && order(job) >= order(best))) continue;
     }
     if (!CanStartOn(now, *job, *m, *used)) continue;
     best = job;
@@ -194,15 +239,15 @@
 
 // A task that has waited long in another machine's queue moves to this one, which has room.
 bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+  const auto order = [&](const Job* j) {
+    return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
+  };
   Job* best = nullptr;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
-    if (!NextRebindable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
-    const auto order = [&](const Job* j) {
-      return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
-    };
-    const int before = best ? fair_share().ComparePrecedence(*job, *best) : 1;
-    if (before < 0 || (before == 0 && order(best) <= order(job))) continue;
+    if (!HasRebindableTask(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
+    const int precedence = best ? fair_share().ComparePrecedence(*job, *best) : 1;
+    if (precedence < 0 || (precedence == 0 && order(best) <= order(job))) continue;
     if (!CanStartOn(now, *job, *m, *used)) continue;
     best = job;
   }
@@ -211,24 +256,24 @@
   return true;
 }
 
-// A job that can still meet its deadline stays off machines that gangs may have cleared: a task
-// that is stopped runs from its beginning, and a deadline seldom leaves time for that. What can't
-// meet its deadline any more, or has none, fills them meanwhile.
+// A job that can still meet its deadline avoids machines that may be cleared for gangs: a stopped
+// task starts over, and a deadline seldom leaves time for that.
 bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& m) const {
   return job.spec.deadline &&
-         now < job.submitted_at + *job.spec.deadline - job.spec.estimated_runtime.Scaled(0.8) &&
+         now < job.submitted_at + *job.spec.deadline -
+                   job.spec.estimated_runtime.Scaled(kDeadlineEstimateFactor) &&
          scaler().MayBeCleared(job.spec, *m.type, m.zone, m.spot, now);
 }
 
-void Dispatch::Bind(Micros now, Job* job, int task, const EligibleMachine& able) {
-  Machine* m = able.machine;
+void Dispatch::Bind(Micros now, Job* job, int task, const EligibleMachine& eligible) {
+  Machine* m = eligible.machine;
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   t.stage = TaskStage::kQueued;
   t.machine = m;
   t.bound_at = now;
   ++job->queued;
   job->bound.push_back({task, now});
-  m->dispatched_work[static_cast<size_t>(job->bucket)] += NormalizedWork(job->spec, able.open);
+  m->dispatched_work[static_cast<size_t>(job->bucket)] += NormalizedWork(job->spec, eligible.open);
   QueueEntry& entry =
       m->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
   entry.job = job;
@@ -236,64 +281,68 @@
   m->idle_since = {-1};
 }
 
-// What a term may spend on binding at once, in machines looked at: after a takeover hundreds of
-// jobs wait for hundreds of machines, and a leader that binds them all in one go loses its lease,
-// so that the next one stands before the same heap. The rest goes on with the next event.
-constexpr double kBindBudget = 20000;
-// And in a second, however many events come: with hundreds of reports a second, each of which may
-// bind, the former alone let a leader spend all its time so while more waited than there was room
-// for.
-constexpr double kBindRate = 400000;
+void Dispatch::RefillBindBudget(Micros now) {
+  const Micros elapsed = now - std::exchange(bind_budget_at_, now);
+  bind_budget_ = std::min(kBindBudget, bind_budget_ + kBindBudgetPerSecond * elapsed.ToSeconds());
+}
+
+bool Dispatch::NeedsBinding(Micros now, const Job& job) const {
+  return !job.IsGang() && !job.waiting.empty() && job.queued < options().bind_window &&
+         occupancy().LimitAllows(job, 1) && !machine_table().Held(job) &&
+         blame().MayBind(now, job) != 0;
+}
+
+std::vector<Dispatch::ReadyMachine> Dispatch::ReadyMachines(Micros now) const {
+  std::vector<ReadyMachine> ready;
+  for (auto& [id, m] : machine_table().machines()) {
+    if (machine_table().Ready(*m, now)) ready.push_back({m.get(), m->GangUse()});
+  }
+  return ready;
+}
+
+std::vector<EligibleMachine> Dispatch::EligibleMachines(
+    Micros now, const Job& job, const std::vector<ReadyMachine>& ready) const {
+  std::vector<EligibleMachine> eligible;
+  for (const auto& [m, gang_use] : ready) {
+    if (!Allows(job.spec, *m->type, m->zone, m->spot)) continue;
+    if (!occupancy().ZoneAllows(job, m->zone) || AvoidsMachine(now, job, *m)) continue;
+    const Resources open = RoomFor(*m, job, gang_use, now);
+    if (!job.spec.need.Fits(open)) continue;
+    eligible.push_back({m, open});
+  }
+  return eligible;
+}
+
+void Dispatch::BindTasks(Micros now, Job* job, const std::vector<EligibleMachine>& eligible) {
+  LeastWorkPolicy policy(*job, eligible);
+  int allowed = blame().MayBind(now, *job);
+  while (!job->waiting.empty() && job->queued < options().bind_window && allowed > 0) {
+    const int task = job->waiting.front();
+    job->waiting.pop_front();
+    if (job->tasks[static_cast<size_t>(task)].stage != TaskStage::kWaiting) continue;
+    Bind(now, job, task, *policy.Next());
+    --allowed;
+  }
+}
 
 void Dispatch::BindWaiting(Micros now) {
-  bind_budget_ =
-      std::min(kBindBudget,
-               bind_budget_ + kBindRate * (now - std::exchange(bind_budget_at_, now)).ToSeconds());
-  struct Candidate {
-    Machine* machine;
-    Resources gangs;
-  };
-  std::vector<Candidate> ready;  // looked for once a call, and only where something is to be bound
-  bool looked = false;
-  auto it = job_table().jobs().upper_bound(last_bound_job_);
-  for (size_t n = 0; n < job_table().jobs().size() && bind_budget_ > 0; ++n, ++it) {
-    if (it == job_table().jobs().end()) it = job_table().jobs().begin();
+  RefillBindBudget(now);
+  const JobTable::Jobs& jobs = job_table().jobs();
+  std::optional<std::vector<ReadyMachine>> ready;  // found once, and only if something is bound
+  auto it = jobs.upper_bound(last_bound_job_);
+  for (size_t n = 0; n < jobs.size() && bind_budget_ > 0; ++n, ++it) {
+    if (it == jobs.end()) it = jobs.begin();
     last_bound_job_ = it->first;
     Job* job = it->second.get();
-    while (!job->delayed.empty() && job->delayed.begin()->first <= now) {
-      job->waiting.push_back(job->delayed.begin()->second);
-      job->delayed.erase(job->delayed.begin());
-    }
-    if (job->IsGang() || job->waiting.empty() || job->queued >= options().bind_window ||
-        !occupancy().LimitAllows(*job, 1) || machine_table().Held(*job) ||
-        blame().MayBind(now, *job) == 0) {
-      continue;
-    }
-    if (!std::exchange(looked, true)) {
+    EndDelays(now, job);
+    if (!NeedsBinding(now, *job)) continue;
+    if (!ready) {
       bind_budget_ -= static_cast<double>(machine_table().machines().size());
-      for (auto& [mid, m] : machine_table().machines()) {
-        if (machine_table().Ready(*m, now)) ready.push_back({m.get(), m->GangUse()});
-      }
-    }
-    std::vector<EligibleMachine> able;
-    bind_budget_ -= static_cast<double>(ready.size() + job->waiting.size());
-    for (const auto& [m, gangs] : ready) {
-      if (!Allows(job->spec, *m->type, m->zone, m->spot)) continue;
-      if (!occupancy().ZoneAllows(*job, m->zone) || AvoidsMachine(now, *job, *m)) continue;
-      const Resources open = RoomFor(*m, *job, gangs, now);
-      if (!job->spec.need.Fits(open)) continue;
-      able.push_back({m, open});
-    }
-    if (able.empty()) continue;
-    LeastWorkPolicy turns(*job, able);
-    int may = blame().MayBind(now, *job);
-    while (!job->waiting.empty() && job->queued < options().bind_window && may > 0) {
-      const int task = job->waiting.front();
-      job->waiting.pop_front();
-      if (job->tasks[static_cast<size_t>(task)].stage != TaskStage::kWaiting) continue;
-      Bind(now, job, task, *turns.Next());
-      --may;
+      ready = ReadyMachines(now);
     }
+    bind_budget_ -= static_cast<double>(ready->size() + job->waiting.size());
+    const std::vector<EligibleMachine> eligible = EligibleMachines(now, *job, *ready);
+    if (!eligible.empty()) BindTasks(now, job, eligible);
   }
 }
 
@@ -315,8 +364,8 @@
 void Dispatch::Unbind(Machine* m) {
   for (auto& [key, entry] : m->queue) {
     for (auto it = entry.tasks.rbegin(); it != entry.tasks.rend(); ++it) {
+      if (!IsCurrent(*it, *entry.job, m)) continue;
       TaskState& t = entry.job->tasks[static_cast<size_t>(it->task)];
-      if (t.stage != TaskStage::kQueued || t.machine != m || t.bound_at != it->bound_at) continue;
       t.stage = TaskStage::kWaiting;
       t.machine = nullptr;
       --entry.job->queued;
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -1,7 +1,10 @@
-// The paper's dispatch: waiting tasks to the machine that has received least, and from each
-// machine's queue the smallest estimate that fits.
+// Dispatch of array and service tasks, after Load Balancing Guardrails (Grosof et al., 2019):
+// waiting tasks are bound to the machine that has received the least work, and each machine starts
+// the shortest estimate of its queue that fits.
 #pragma once
 
+#include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -12,36 +15,65 @@
 
 namespace badgershore {
 
+// Binds waiting tasks to machines' queues and starts queued tasks. Gangs bypass it.
 class Dispatch : public Part {
  public:
   using Part::Part;
 
+  // Binds waiting tasks, job by job in turns, as far as the budget for looking at machines goes;
+  // the rest is bound by later calls.
   void BindWaiting(Micros now);
+  // Holds a machine for one unstarted job of each team: its room is left free until the job's first
+  // task has started there.
   void HoldMachinesForUnstartedJobs(Micros now);
+  // Starts on the machine what has room there, and appends the start commands to `orders`.
   void StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders);
+  // Returns all tasks in the machine's queue to their jobs' waiting tasks.
   void Unbind(Machine* m);
-  void Unbind(Job* job);  // from all machines' queues
-  // What of a machine is open to a job, where `used` is taken.
+  // Returns the job's queued tasks, on whatever machine, to its waiting tasks.
+  void Unbind(Job* job);
+  // The resources of the machine that the job may use while `used` is taken: without what is held
+  // or reserved there for others that go before it.
   Resources RoomFor(const Machine& m, const Job& job, const Resources& used, Micros now) const;
 
  private:
-  int StartPriority(Micros now, const Job& job) const;  // the more, the sooner
+  struct ReadyMachine {
+    Machine* machine;
+    Resources gang_use;
+  };
+
+  // Binding.
+  void RefillBindBudget(Micros now);
+  bool NeedsBinding(Micros now, const Job& job) const;
+  std::vector<ReadyMachine> ReadyMachines(Micros now) const;
+  std::vector<EligibleMachine> EligibleMachines(Micros now, const Job& job,
+                                                const std::vector<ReadyMachine>& ready) const;
+  void BindTasks(Micros now, Job* job, const std::vector<EligibleMachine>& eligible);
+  void Bind(Micros now, Job* job, int task, const EligibleMachine& eligible);
   bool AvoidsMachine(Micros now, const Job& job, const Machine& m) const;
-  void Bind(Micros now, Job* job, int task, const EligibleMachine& able);
-  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+
+  // Holding machines.
+  std::map<int, Job*> OldestUnstartedJobs(Micros now) const;
+  Machine* MachineToHold(Micros now, const Job& job) const;
+
+  // Starting. The Start... calls start one task, or return false.
   bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  const QueuedTask* NextRebindable(Micros now, Job* job) const;
+  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  QueueEntry* NextQueued(Micros now, Machine* m, const Resources& used);
+  int StartPriority(Micros now, const Job& job) const;
+  bool StartsBefore(Micros now, const Job& a, const Job& b) const;
+  bool HasRebindableTask(Micros now, Job* job) const;
   bool CanStartOn(Micros now, const Job& job, const Machine& m, const Resources& used) const;
   void RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
                       std::vector<Command>* orders);
-  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
   void StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
                  std::vector<Command>* orders);
 
   Micros next_hold_at_;
   double bind_budget_ = 0;  // machines that may be looked at
-  Micros bind_budget_at_;
-  std::string last_bound_job_;  // the job that was bound last
+  Micros bind_budget_at_;   // when the budget was last refilled
+  std::string last_bound_job_;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -1,6 +1,8 @@
 #include "core/leader/fair_share.h"
 
 #include <algorithm>
+#include <tuple>
+#include <utility>
 
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
@@ -12,12 +14,28 @@
 
 constexpr Micros kInterval = Millis(500);
 constexpr Micros kPreemptionWindow = Seconds(60);
-constexpr Micros kHoldDuration = Seconds(12);  // for a check-in of the machine, after the stop
+// Covers the wait for a report of the machine after the preemption.
+constexpr Micros kHoldDuration = Seconds(12);
+
+// The cost of preempting a task that checkpoints; others cost this much and what they have run.
+constexpr double kCheckpointedCost = 0.1;
+constexpr double kLostTaskCost = 1;
 
 double Fraction(int64_t used, int64_t all) {
   return all > 0 ? static_cast<double>(used) / static_cast<double>(all) : 0;
 }
 
+struct Victim {
+  bool loses_run;  // it doesn't checkpoint
+  Micros ran;
+  Allocation* allocation;
+
+  double Cost() const {
+    return (loses_run ? kLostTaskCost + ran.ToSeconds() : kCheckpointedCost) *
+           static_cast<double>(allocation->need.cpu + 1);
+  }
+};
+
 }  // namespace
 
 FairShare::FairShare(const LeaderContext* context)
@@ -34,9 +52,9 @@
   return over_a == over_b ? 0 : over_b ? 1 : -1;
 }
 
-bool FairShare::ExceedsGuaranteeWithout(int team, const Resources& what) const {
+bool FairShare::ExceedsGuaranteeWithout(int team, const Resources& resources) const {
   if (team < 0) return false;
-  const Resources left = occupancy().Used(team) - stopping_[static_cast<size_t>(team)] - what;
+  const Resources left = occupancy().Used(team) - stopping_[static_cast<size_t>(team)] - resources;
   const Resources& own = occupancy().Guarantee(team);
   return left.cpu >= own.cpu && left.gpu >= own.gpu;
 }
@@ -50,17 +68,34 @@
   if (shares_.size() < 2 || now < next_tick_at_) return;
   next_tick_at_ = now + kInterval;
   for (Resources& r : stopping_) r = {};
+  ReleaseExpiredHolds(now);
+  UpdateShares(now);
+  const std::vector<Job*> jobs = JobsShortOfGuarantee(now);
+  if (jobs.empty() || !election()->MayStart(now)) return;
+  CountStopping();
+  for (Job* job : jobs) ReclaimGuarantee(now, job);
+}
+
+void FairShare::ReleaseExpiredHolds(Micros now) {
   for (const auto& [id, m] : machine_table().machines()) {
     if (m->held_for && now >= m->held_until) m->held_for = nullptr;
   }
-  UpdateShares(now);
-  std::vector<Job*> short_of;
+}
+
+// Those that have waited long enough for preemption, oldest first.
+std::vector<Job*> FairShare::JobsShortOfGuarantee(Micros now) const {
+  std::vector<Job*> jobs;
   for (Job* job : preferred_jobs_) {
     if (job->IsGuaranteed() && now - job->guarantee_short_since >= options().reclaim_wait) {
-      short_of.push_back(job);
+      jobs.push_back(job);
     }
   }
-  if (short_of.empty() || !election()->MayStart(now)) return;
+  std::stable_sort(jobs.begin(), jobs.end(),
+                   [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
+  return jobs;
+}
+
+void FairShare::CountStopping() {
   for (const auto& [id, m] : machine_table().machines()) {
     for (const auto& [key, o] : m->allocations) {
       if (!o.stop_requested || o.exited() || o.team < 0) continue;
@@ -68,17 +103,23 @@
       r = r + o.need;
     }
   }
-  std::stable_sort(short_of.begin(), short_of.end(),
-                   [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
-  for (Job* job : short_of) ReclaimGuarantee(now, job);
 }
 
-// Shares count only once there is not room for all that could start.
 void FairShare::UpdateShares(Micros now) {
-  Resources all, free;
+  Resources capacity;
+  const bool crowded = IsCrowded(now, &capacity);
+  const ShareSum sum = SumShares(capacity);
+  const bool any_over = MarkTeamsOver(sum, crowded);
+  ListPreferredJobs(sum, any_over);
+}
+
+// Whether there is not room for all that could start: shares count only then. Resets the teams'
+// shares and notes which teams have something to start.
+bool FairShare::IsCrowded(Micros now, Resources* capacity) {
+  Resources free;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now)) continue;
-    all = all + m->type->size;
+    *capacity = *capacity + m->type->size;
     free = free + (m->type->size - m->Used());
   }
   Resources wanted;
@@ -90,64 +131,71 @@
     shares_[static_cast<size_t>(job->team)].wants = true;
     wanted = wanted + job->spec.need.Times(open);
   }
-  const bool crowded = wanted.cpu > free.cpu || wanted.mem > free.mem || wanted.gpu > free.gpu;
-  double sum = 0;
-  int active = 0;
+  return wanted.cpu > free.cpu || wanted.mem > free.mem || wanted.gpu > free.gpu;
+}
+
+FairShare::ShareSum FairShare::SumShares(const Resources& capacity) {
+  ShareSum sum;
   for (size_t i = 0; i < shares_.size(); ++i) {
     const Resources& used = occupancy().Used(static_cast<int>(i));
-    shares_[i].dominant = std::max(
-        {Fraction(used.cpu, all.cpu), Fraction(used.gpu, all.gpu), Fraction(used.mem, all.mem)});
-    sum += shares_[i].dominant;
-    active += shares_[i].wants || shares_[i].dominant > 0;
+    shares_[i].dominant =
+        std::max({Fraction(used.cpu, capacity.cpu), Fraction(used.gpu, capacity.gpu),
+                  Fraction(used.mem, capacity.mem)});
+    sum.dominant += shares_[i].dominant;
+    sum.active += shares_[i].wants || shares_[i].dominant > 0;
   }
+  return sum;
+}
+
+bool FairShare::MarkTeamsOver(const ShareSum& sum, bool crowded) {
   bool any_over = false;
   for (Share& s : shares_) {
-    s.over = crowded && active > 1 && s.dominant > options().fair_margin * sum / active;
+    s.over =
+        crowded && sum.active > 1 && s.dominant > options().fair_margin * sum.dominant / sum.active;
     any_over |= s.over;
   }
+  return any_over;
+}
+
+void FairShare::ListPreferredJobs(const ShareSum& sum, bool any_over) {
   preferred_jobs_.clear();
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->IsGang() || job->team < 0 || job->WantedTasks() == job->placed || job->finishing)
       continue;
     const Share& s = shares_[static_cast<size_t>(job->team)];
-    const bool under = any_over && s.dominant * active < sum;
+    const bool under = any_over && s.dominant * sum.active < sum.dominant;
     if (job->IsGuaranteed() || under) preferred_jobs_.push_back(job.get());
   }
 }
 
-// What would have to be stopped on the machine for so many tasks of the job, or as many as can be;
-// false: not for one.
+// What has to be preempted on the machine for `tasks` of the job, or as many as can be; false: not
+// even one can be placed.
 bool FairShare::PlanOn(Micros now, Machine* m, const Job& job, int tasks,
                        PreemptionOption* out) const {
   Resources room = dispatch().RoomFor(*m, job, m->Used(), now);
-  struct Choice {
-    bool lost;  // it does not save
-    Micros ran;
-    Allocation* o;
-  };
-  std::vector<Choice> choices;
+  std::vector<Victim> victims;
   for (auto& [key, o] : m->allocations) {
     if (o.exited()) continue;
     if (o.stop_requested) {
-      room = room + o.need;  // on its way out
+      room = room + o.need;
     } else if (o.job && o.team != job.team && !o.job->IsGang() && !o.job->IsService() &&
                ExceedsGuaranteeWithout(o.team, o.need)) {
       const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
-      choices.push_back({o.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &o});
+      victims.push_back({o.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &o});
     }
   }
-  std::sort(choices.begin(), choices.end(), [](const Choice& a, const Choice& b) {
-    return std::tie(a.lost, a.ran) < std::tie(b.lost, b.ran);
+  std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
+    return std::tie(a.loses_run, a.ran) < std::tie(b.loses_run, b.ran);
   });
   out->machine = m;
-  for (const Choice& c : choices) {
+  for (const Victim& victim : victims) {
     if (room.Holds(job.spec.need) >= tasks) break;
-    room = room + c.o->need;
-    out->victims.push_back(c.o);
-    out->cost += (c.lost ? 1 + c.ran.ToSeconds() : 0.1) * static_cast<double>(c.o->need.cpu + 1);
+    room = room + victim.allocation->need;
+    out->victims.push_back(victim.allocation);
+    out->cost += victim.Cost();
   }
   out->tasks = static_cast<int>(std::min<int64_t>(room.Holds(job.spec.need), tasks));
-  // Victims that did not bring room for one more are left alone.
+  // Victims that did not make room for one more task are spared.
   while (!out->victims.empty()) {
     const Resources less = room - out->victims.back()->need;
     if (less.Holds(job.spec.need) < out->tasks) break;
@@ -158,72 +206,85 @@
   return out->tasks > 0;
 }
 
+// Cheapest first.
 std::vector<FairShare::PreemptionOption> FairShare::FindOptions(Micros now, const Job& job,
                                                                 int tasks) const {
-  std::vector<PreemptionOption> places;
+  std::vector<PreemptionOption> found;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now) || m->held_for || m->reserved_for) continue;
     if (!Allows(job.spec, *m->type, m->zone, m->spot) || !occupancy().ZoneAllows(job, m->zone)) {
       continue;
     }
-    PreemptionOption place;
-    if (PlanOn(now, m.get(), job, tasks, &place)) places.push_back(std::move(place));
+    PreemptionOption option;
+    if (PlanOn(now, m.get(), job, tasks, &option)) found.push_back(std::move(option));
   }
   std::stable_sort(
-      places.begin(), places.end(),
+      found.begin(), found.end(),
       [](const PreemptionOption& a, const PreemptionOption& b) { return a.cost < b.cost; });
-  return places;
+  return found;
 }
 
-// Room for the tasks that the guarantee is short of: where there is some it is kept, elsewhere what
-// other teams run beyond theirs is stopped, what saves first, then what ran least. A team that
-// takes stays within its guarantee and one that gives keeps its own, so no two take in turns.
-void FairShare::ReclaimGuarantee(Micros now, Job* job) {
-  int missing = std::min(job->tasks_within_guarantee, job->remaining()) - job->placed;
+// Tasks that the guarantee is short of and that no machine is held for.
+int FairShare::MissingTasks(const Job& job) const {
+  int missing = std::min(job.tasks_within_guarantee, job.remaining()) - job.placed;
   for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for == job) missing -= m->held_tasks;
+    if (m->held_for == &job) missing -= m->held_tasks;
   }
+  return missing;
+}
+
+// Holds room for the tasks that the guarantee is short of, and preempts what other teams run beyond
+// theirs where there is none. The team that reclaims stays within its guarantee and the others keep
+// theirs, so that no two teams preempt each other in turns.
+void FairShare::ReclaimGuarantee(Micros now, Job* job) {
+  int missing = MissingTasks(*job);
   if (missing <= 0 || machine_table().Held(*job) || !occupancy().LimitAllows(*job, 1)) return;
   PreemptedCpu& preempted = preempted_[static_cast<size_t>(job->team)];
   if (now - preempted.window_start >= kPreemptionWindow) preempted = {0, now};
+  int held = 0, stopped = 0;
+  for (const PreemptionOption& option : FindOptions(now, *job, missing)) {
+    if (missing <= 0) break;
+    const int tasks = std::min(option.tasks, missing);
+    if (!Execute(now, job, option, tasks)) continue;
+    stopped += static_cast<int>(option.victims.size());
+    held += tasks;
+    missing -= tasks;
+  }
+  if (stopped > 0) {
+    asker()->Debug("guarantee of " + job->spec.team + ": " + std::to_string(stopped) +
+                   " tasks of others stopped for " + std::to_string(held) + " of " + job->spec.id);
+  }
+}
+
+// False, and nothing is done, where the option would preempt too much.
+bool FairShare::Execute(Micros now, Job* job, const PreemptionOption& option, int tasks) {
+  int64_t cpu = 0;
+  Micros longest_checkpoint;
+  for (const Allocation* o : option.victims) {
+    cpu += o->need.cpu;
+    // Another option may have used up what the team has beyond its guarantee.
+    if (!ExceedsGuaranteeWithout(o->team, o->need)) return false;
+    longest_checkpoint = std::max(longest_checkpoint, o->job->spec.checkpoint_duration);
+  }
   const int64_t most =
       std::max(job->spec.need.cpu,
                static_cast<int64_t>(static_cast<double>(occupancy().Guarantee(job->team).cpu) *
                                     options().reclaim_share));
-  int tasks = 0, told = 0;
-  for (const PreemptionOption& place : FindOptions(now, *job, missing)) {
-    if (missing <= 0) break;
-    int64_t cpu = 0;
-    bool whole = true;
-    Micros save;
-    for (const Allocation* o : place.victims) {
-      cpu += o->need.cpu;
-      // Another place may have used up what the team has beyond its guarantee.
-      whole = whole && ExceedsGuaranteeWithout(o->team, o->need);
-      save = std::max(save, o->job->spec.checkpoint_duration);
-    }
-    if (!whole || (cpu > 0 && preempted.cpu + cpu > most)) continue;
-    for (Allocation* o : place.victims) {
-      o->stop_requested = true;
-      o->grace_period =
-          o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
-      Resources& r = stopping_[static_cast<size_t>(o->team)];
-      r = r + o->need;
-      ++told;
-    }
-    preempted.cpu += cpu;
-    const int holds = std::min(place.tasks, missing);
-    place.machine->held_for = job;
-    place.machine->held_tasks = holds;
-    place.machine->held_until = now + kHoldDuration + save;
-    tasks += holds;
-    missing -= holds;
-    if (!place.victims.empty()) machine_table().HaltNow(now, place.machine);
-  }
-  if (told > 0) {
-    asker()->Debug("guarantee of " + job->spec.team + ": " + std::to_string(told) +
-                   " tasks of others stopped for " + std::to_string(tasks) + " of " + job->spec.id);
+  PreemptedCpu& preempted = preempted_[static_cast<size_t>(job->team)];
+  if (cpu > 0 && preempted.cpu + cpu > most) return false;
+  for (Allocation* o : option.victims) {
+    o->stop_requested = true;
+    o->grace_period =
+        o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
+    Resources& r = stopping_[static_cast<size_t>(o->team)];
+    r = r + o->need;
   }
+  preempted.cpu += cpu;
+  option.machine->held_for = job;
+  option.machine->held_tasks = tasks;
+  option.machine->held_until = now + kHoldDuration + longest_checkpoint;
+  if (!option.victims.empty()) machine_table().HaltNow(now, option.machine);
+  return true;
 }
 
 }  // namespace badgershore
--- a/src/core/leader/fair_share.h
+++ b/src/core/leader/fair_share.h
@@ -1,5 +1,5 @@
-// How teams share what there is not enough of: guarantees first, then dominant shares (Ghodsi et
-// al., "Dominant Resource Fairness", NSDI 2011) among equals in rank.
+// Sharing among teams: guarantees first, then dominant shares (Ghodsi et al., "Dominant Resource
+// Fairness", NSDI 2011) among jobs of equal priority.
 #pragma once
 
 #include <vector>
@@ -10,29 +10,40 @@
 
 namespace badgershore {
 
+// Compares jobs by their teams' shares, and preempts tasks of teams above their guarantee where
+// another team is short of its own.
 class FairShare : public Part {
  public:
   explicit FairShare(const LeaderContext* context);
 
+  // Recomputes the shares and reclaims guarantees, twice a second at most.
   void Tick(Micros now);
-  // Whether `a` starts before `b` because of who sent them; 0: the paper's order decides.
+  // Positive: `a` starts before `b`; negative: after it; 0: the teams' shares don't decide.
   int ComparePrecedence(const Job& a, const Job& b) const;
-  // Jobs with queued tasks that go before others wherever there is room: within a guarantee, or of
-  // a team that has less than its share while another has more.
+  // Array and service jobs with unplaced tasks that are within a guarantee, or of a team below its
+  // share while another is above, as of the last tick.
   const std::vector<Job*>& preferred_jobs() const { return preferred_jobs_; }
+  // The job is over.
   void Remove(const Job* job);
-  // The team has so much more than its guarantee that this may be stopped to give another its own.
-  bool ExceedsGuaranteeWithout(int team, const Resources& what) const;
+  // Without these resources the team would still use at least its guarantee, so that they may be
+  // preempted for another team's guarantee.
+  bool ExceedsGuaranteeWithout(int team, const Resources& resources) const;
 
  private:
   struct Share {
+    double dominant = 0;  // 0 to 1
+    bool wants = false;   // has tasks to start within its limit
+    bool over = false;    // uses more than its share
+  };
+  struct ShareSum {
     double dominant = 0;
-    bool wants = false, over = false;
+    int active = 0;  // teams that use or want something
   };
-  struct PreemptionOption {  // a place for tasks of the job, and what has to be stopped for it
+  // A machine where tasks of a job fit once the victims are preempted.
+  struct PreemptionOption {
     Machine* machine = nullptr;
     int tasks = 0;
-    double cost = 0;  // of each
+    double cost = 0;  // per task
     std::vector<Allocation*> victims;
   };
   // Preempted for a team's guarantee within the current window.
@@ -40,15 +51,25 @@
     int64_t cpu = 0;  // in thousandths of a core
     Micros window_start;
   };
+
+  void ReleaseExpiredHolds(Micros now);
   void UpdateShares(Micros now);
+  bool IsCrowded(Micros now, Resources* capacity);
+  ShareSum SumShares(const Resources& capacity);
+  bool MarkTeamsOver(const ShareSum& sum, bool crowded);
+  void ListPreferredJobs(const ShareSum& sum, bool any_over);
+  std::vector<Job*> JobsShortOfGuarantee(Micros now) const;
+  void CountStopping();
   void ReclaimGuarantee(Micros now, Job* job);
+  int MissingTasks(const Job& job) const;
+  bool Execute(Micros now, Job* job, const PreemptionOption& option, int tasks);
   std::vector<PreemptionOption> FindOptions(Micros now, const Job& job, int tasks) const;
   bool PlanOn(Micros now, Machine* m, const Job& job, int tasks, PreemptionOption* out) const;
 
-  std::vector<Share> shares_;  // by team's number
+  std::vector<Share> shares_;  // by team
   std::vector<Job*> preferred_jobs_;
   std::vector<PreemptedCpu> preempted_;  // by team
-  std::vector<Resources> stopping_;      // of each team, told to stop and still there
+  std::vector<Resources> stopping_;      // by team: told to stop and still there
   Micros next_tick_at_;
 };
 
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -1,5 +1,8 @@
 #include "core/leader/job_table.h"
 
+#include <algorithm>
+#include <utility>
+
 #include "core/leader/fair_share.h"
 #include "core/leader/gang_scheduler.h"
 #include "core/leader/machine_table.h"
@@ -14,9 +17,19 @@
 // A cancellation is recorded within this, or its user is told to ask again.
 constexpr Micros kCancelPendingTimeout = Seconds(5);
 
-// Half of what users take for work left lying.
+// Half of what users accept.
 constexpr Micros kStarvationTimeout = Seconds(45);
 
+constexpr int64_t kMaxJobAgeMs = 86400000;
+
+// Run times relative to the estimate between which a task can still meet its objective, if it
+// starts at once: estimates are often wrong by half.
+constexpr double kLongestRunFactor = 1.5;
+constexpr double kShortestRunFactor = 0.8;
+constexpr Micros kStartMargin = Seconds(10);
+
+constexpr size_t kMaxStatuses = 2000;
+
 Resources ElementwiseMin(const Resources& a, const Resources& b) {
   return {std::min(a.cpu, b.cpu), std::min(a.gpu, b.gpu), std::min(a.mem, b.mem)};
 }
@@ -37,47 +50,64 @@
   }
 }
 
-void JobTable::AddJob(Micros now, const JobSpec& spec, uint64_t stamp) {
+void JobTable::AddJob(Micros now, const JobSpec& spec, uint64_t version) {
   if (jobs_.count(spec.id)) return;
+  std::unique_ptr<Job> job = MakeJob(now, spec, version);
+  smallest_need_ = jobs_.empty() ? spec.need : ElementwiseMin(smallest_need_, spec.need);
+  ForecastArrival(now, *job);
+  jobs_[spec.id] = std::move(job);
+  asker()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
+                 " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
+}
+
+std::unique_ptr<Job> JobTable::MakeJob(Micros now, const JobSpec& spec, uint64_t version) const {
   auto job = std::make_unique<Job>();
   job->spec = spec;
   job->team = occupancy().TeamOf(spec.team);
-  job->version = stamp;
-  const int64_t today_ms = began_ms() + (now - began()).ToMillis();
-  job->submitted_at = now - Millis(std::clamp<int64_t>(today_ms - spec.submitted_ms, 0, 86400000));
+  job->version = version;
+  const int64_t time_of_day_ms = began_ms() + (now - began()).ToMillis();
+  job->submitted_at =
+      now - Millis(std::clamp<int64_t>(time_of_day_ms - spec.submitted_ms, 0, kMaxJobAgeMs));
   job->progressed_at = now;
-  for (const Objective& o : settings().objectives) {
-    if (o.job_class != spec.job_class) continue;
-    if (o.kind == "wait") job->start_by = job->submitted_at + o.within;
-    if (o.kind == "finished" && spec.kind == JobKind::kArray) {
-      // Estimates are often wrong by half; what can't be in time any more has no claim.
-      const Micros by = job->submitted_at + o.within;
-      job->objective_windows.push_back({by - spec.estimated_runtime.Scaled(1.5) - Seconds(10),
-                                        by - spec.estimated_runtime.Scaled(0.8)});
-    }
-  }
-  smallest_need_ = jobs_.empty() ? spec.need : ElementwiseMin(smallest_need_, spec.need);
+  SetObjectives(job.get());
   job->bucket = SizeBucket(spec, options().bucket_width);
   job->tasks.resize(static_cast<size_t>(spec.tasks));
   job->progress_pages.resize(static_cast<size_t>((spec.tasks + kChunkTasks - 1) / kChunkTasks));
   if (!job->IsGang()) {
-    if (!job->IsService()) scaler().ArrayArrived(spec, job->submitted_at, now);
     for (int i = 0; i < spec.tasks; ++i) job->waiting.push_back(i);
-  } else {
-    scaler().NoteGang(spec, now);
-    scaler().GangArrived(spec, job->submitted_at);
-  }
-  if (!types().empty()) {
-    Micros boot;
-    for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
-    scaler().Arrived(spec,
-                     scaler().Allowance(spec, settings().objectives, 1.0) - spec.estimated_runtime,
-                     boot, job->submitted_at, now);
   }
   job->cancel_pending = cancel_pending_until_.contains(spec.id);
-  jobs_[spec.id] = std::move(job);
-  asker()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
-                 " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
+  return job;
+}
+
+void JobTable::SetObjectives(Job* job) const {
+  const JobSpec& spec = job->spec;
+  for (const Objective& o : settings().objectives) {
+    if (o.job_class != spec.job_class) continue;
+    const Micros deadline = job->submitted_at + o.within;
+    if (o.kind == "wait") job->start_by = deadline;
+    if (o.kind == "finished" && spec.kind == JobKind::kArray) {
+      job->objective_windows.push_back(
+          {deadline - spec.estimated_runtime.Scaled(kLongestRunFactor) - kStartMargin,
+           deadline - spec.estimated_runtime.Scaled(kShortestRunFactor)});
+    }
+  }
+}
+
+void JobTable::ForecastArrival(Micros now, const Job& job) {
+  const JobSpec& spec = job.spec;
+  if (job.IsGang()) {
+    scaler().NoteGang(spec, now);
+    scaler().GangArrived(spec, job.submitted_at);
+  } else if (!job.IsService()) {
+    scaler().ArrayArrived(spec, job.submitted_at, now);
+  }
+  if (types().empty()) return;
+  Micros boot;
+  for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
+  scaler().Arrived(spec,
+                   scaler().Allowance(spec, settings().objectives, 1.0) - spec.estimated_runtime,
+                   boot, job.submitted_at, now);
 }
 
 void JobTable::MarkCancelPending(Micros now, const std::string& id) {
@@ -102,41 +132,51 @@
   }
 }
 
-void JobTable::CloseJob(Micros now, Job* job) {
+// Takes the job out of everything that points to it.
+void JobTable::DetachJob(Micros now, Job* job) {
   for (auto& [id, m] : machine_table().machines()) {
     m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
     occupancy().Disown(m.get(), job);
     if (m->held_for == job) m->held_for = nullptr;
   }
   recorder().Over(now, *job);
+  if (job->IsGang()) gang_scheduler().Remove(job);
+  fair_share().Remove(job);
 }
 
 void JobTable::EndJob(Micros now, const std::string& id) {
   auto it = jobs_.find(id);
   if (it == jobs_.end()) return;
   Job* job = it->second.get();
-  CloseJob(now, job);
-  if (job->IsGang()) gang_scheduler().Remove(job);
-  fair_share().Remove(job);
+  DetachJob(now, job);
   asker()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
   jobs_.erase(it);
-  for (auto& [mid, m] : machine_table().machines()) {
-    bool any = false;
-    for (auto o = m->allocations.begin(); o != m->allocations.end();) {
-      Allocation& occ = o->second;
-      if (occ.ref.job == id && occ.start_unsent) {
-        o = occupancy().Erase(m.get(), o);
-        continue;
-      }
-      if (occ.ref.job == id && !occ.exited()) {
-        occ.stop_requested = true;
-        occ.grace_period = {};
-        any = true;
-      }
-      ++o;
+  StopTasks(now, id);
+}
+
+void JobTable::StopTasks(Micros now, const std::string& id) {
+  for (auto& [machine_id, m] : machine_table().machines()) {
+    if (StopTasksOn(m.get(), id)) machine_table().HaltNow(now, m.get());
+  }
+}
+
+// Withdraws starts that have not been sent; returns whether the machine has tasks to be told.
+bool JobTable::StopTasksOn(Machine* m, const std::string& id) {
+  bool any = false;
+  for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+    Allocation& o = it->second;
+    if (o.ref.job == id && o.start_unsent) {
+      it = occupancy().Erase(m, it);
+      continue;
+    }
+    if (o.ref.job == id && !o.exited()) {
+      o.stop_requested = true;
+      o.grace_period = {};
+      any = true;
     }
-    if (any) machine_table().HaltNow(now, m.get());
+    ++it;
   }
+  return any;
 }
 
 JobStatus JobTable::Status(const std::string& id) const {
@@ -148,27 +188,27 @@
 std::vector<JobStatus> JobTable::Statuses() const {
   std::vector<JobStatus> out;
   for (const auto& [id, job] : jobs_) {
-    if (out.size() >= 2000) break;
+    if (out.size() >= kMaxStatuses) break;
     if (job->done > 0 || job->running > 0) out.push_back({id, job->done, job->running});
   }
   return out;
 }
 
+void JobTable::MarkTaskDone(Micros now, Job* job, int task) {
+  TaskState& t = job->tasks[static_cast<size_t>(task)];
+  if (t.stage == TaskStage::kDone) return;
+  t.stage = TaskStage::kDone;
+  ++job->done;
+  job->progressed_at = now;
+  recorder().Progressed(now, job, task);
+}
+
 void JobTable::MarkDone(Micros now, Job* job, int task) {
-  const auto one = [&](int i) {
-    TaskState& t = job->tasks[static_cast<size_t>(i)];
-    if (t.stage == TaskStage::kDone) return;
-    t.stage = TaskStage::kDone;
-    ++job->done;
-    job->progressed_at = now;
-    recorder().Progressed(now, job, i);
-  };
   if (job->IsService()) return;
   if (job->IsGang()) {
-    // They complete together: one that is done speaks for all.
-    for (int i = 0; i < job->spec.tasks; ++i) one(i);
+    for (int i = 0; i < job->spec.tasks; ++i) MarkTaskDone(now, job, i);
   } else {
-    one(task);
+    MarkTaskDone(now, job, task);
   }
   if (job->remaining() == 0 && !job->finishing) {
     job->finishing = true;
@@ -190,31 +230,35 @@
   }
 }
 
-// Job by job, the earliest first, until a team's guarantee is used up: of an array as many tasks as
-// go into what is left of it, a gang or service whole or not at all.
 void JobTable::MarkGuaranteed(Micros now) {
   for (size_t i = 0; i < settings().teams.size(); ++i) {
-    const int team = static_cast<int>(i);
-    const Team& said = settings().teams[i];
-    if (said.guarantee.cpu == 0 && said.guarantee.gpu == 0) continue;
-    Resources room = occupancy().Guarantee(team);
-    room.mem = INT64_MAX / 2;
-    std::vector<Job*> jobs;
-    for (auto& [id, job] : jobs_) {
-      if (job->team == team && !job->finishing) jobs.push_back(job.get());
-    }
-    std::stable_sort(jobs.begin(), jobs.end(),
-                     [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
-    for (Job* job : jobs) {
-      const bool whole = job->IsGang() || job->IsService();
-      const int64_t holds = std::min<int64_t>(room.Holds(job->spec.need), job->WantedTasks());
-      job->tasks_within_guarantee = static_cast<int>(whole && holds < job->remaining() ? 0 : holds);
-      room = room - job->spec.need.Times(job->tasks_within_guarantee);
-      if (!job->IsGuaranteed()) {
-        job->guarantee_short_since = kNever;
-      } else if (job->guarantee_short_since == kNever) {
-        job->guarantee_short_since = now;
-      }
+    const Team& team = settings().teams[i];
+    if (team.guarantee.cpu == 0 && team.guarantee.gpu == 0) continue;
+    MarkGuaranteedOf(now, static_cast<int>(i));
+  }
+}
+
+// Job by job, the earliest first, until the team's guarantee is used up: of an array as many tasks
+// as fit into what is left of it, a gang or service whole or not at all.
+void JobTable::MarkGuaranteedOf(Micros now, int team) {
+  Resources room = occupancy().Guarantee(team);
+  room.mem = INT64_MAX / 2;  // memory is not guaranteed
+  std::vector<Job*> jobs;
+  for (auto& [id, job] : jobs_) {
+    if (job->team == team && !job->finishing) jobs.push_back(job.get());
+  }
+  std::stable_sort(jobs.begin(), jobs.end(),
+                   [](const Job* a, const Job* b) { return a->submitted_at < b->submitted_at; });
+  for (Job* job : jobs) {
+    const bool all_or_none = job->IsGang() || job->IsService();
+    const int64_t holds = std::min<int64_t>(room.Holds(job->spec.need), job->WantedTasks());
+    job->tasks_within_guarantee =
+        static_cast<int>(all_or_none && holds < job->remaining() ? 0 : holds);
+    room = room - job->spec.need.Times(job->tasks_within_guarantee);
+    if (!job->IsGuaranteed()) {
+      job->guarantee_short_since = kNever;
+    } else if (job->guarantee_short_since == kNever) {
+      job->guarantee_short_since = now;
     }
   }
 }
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -1,5 +1,8 @@
 #include "core/leader/stuck_job_detector.h"
 
+#include <algorithm>
+#include <utility>
+
 #include "core/leader/dispatch.h"
 #include "core/leader/gang_scheduler.h"
 #include "core/leader/job_table.h"
@@ -11,11 +14,19 @@
 
 constexpr Micros kInterval = Seconds(5);
 
+// The low bits of an attempt count within its term.
+constexpr uint64_t kAttemptInTermMask = 0xffffff;
+
+// A job's next step may take so many boots, start timeouts of a gang and estimated run times.
+constexpr double kBootFactor = 2;
+constexpr double kGangStartFactor = 2;
+constexpr double kRunFactor = 4;
+
 std::string Text(int64_t n) { return std::to_string(n); }
 
 }  // namespace
 
-// Everything that a job's next step can hang on, in the order in which it would be met.
+// Every condition of the job's next step, in the order in which it would meet them.
 std::string StuckJobDetector::WaitReason(Micros now, const Job& job) const {
   if (job.finishing) return "all done, its end waits to be written";
   if (job.cancel_pending) return "its cancellation is being recorded";
@@ -31,24 +42,28 @@
       job.placed == 0) {
     return "a pause after failures";
   }
-  int able = 0, ready = 0, room = 0, unrecorded = 0;
+  return MachineWaitReason(now, job);
+}
+
+std::string StuckJobDetector::MachineWaitReason(Micros now, const Job& job) const {
+  int eligible = 0, ready = 0, with_room = 0, unrecorded = 0;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!m->type || !Allows(job.spec, *m->type, m->zone, m->spot) ||
         !occupancy().ZoneAllows(job, m->zone)) {
       continue;
     }
-    ++able;
+    ++eligible;
     if (!machine_table().Ready(*m, now)) continue;
     ++ready;
     unrecorded += !m->durable;
-    room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
+    with_room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
   }
-  if (able == 0) return "no machine that may hold it";
-  if (ready == 0) return "none of its " + Text(able) + " machines is ready";
-  if (room == 0) return "no room on " + Text(ready) + " machines";
+  if (eligible == 0) return "no machine that may hold it";
+  if (ready == 0) return "none of its " + Text(eligible) + " machines is ready";
+  if (with_room == 0) return "no room on " + Text(ready) + " machines";
   if (unrecorded == ready) return "the records of its machines wait to be written";
   if (job.placed > 0) return "its tasks on machines do not end";
-  return "room on " + Text(room) + " of " + Text(ready) + " machines, and nothing in the way";
+  return "room on " + Text(with_room) + " of " + Text(ready) + " machines, and nothing in the way";
 }
 
 std::string StuckJobDetector::Explain(Micros now, const std::string& id) const {
@@ -58,18 +73,19 @@
   std::string out = id + ": " + Text(job.done) + " of " + Text(job.spec.tasks) + " tasks done, " +
                     Text(job.placed) + " on machines, " + Text(job.running) + " running, " +
                     Text(job.queued) + " in queues";
-  if (job.IsGang()) out += ", attempt " + Text(static_cast<int64_t>(job.gang_attempt & 0xffffff));
+  if (job.IsGang()) {
+    out += ", attempt " + Text(static_cast<int64_t>(job.gang_attempt & kAttemptInTermMask));
+  }
   return out + "; not moved for " + Text((now - job.progressed_at).ToMillis() / 1000) +
          " s: " + WaitReason(now, job);
 }
 
-// So long the job's next step may take: a boot that is tried twice, an image, a run, a gang's wait.
 Micros StuckJobDetector::StuckTimeout(const Job& job) const {
   Micros boot;
   for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
-  const Micros usual = boot.Scaled(2 * options().boot_patience) +
-                       settings().gang_start_timeout.Scaled(2) +
-                       job.spec.estimated_runtime.Scaled(4);
+  const Micros usual = boot.Scaled(kBootFactor * options().boot_patience) +
+                       settings().gang_start_timeout.Scaled(kGangStartFactor) +
+                       job.spec.estimated_runtime.Scaled(kRunFactor);
   return std::max(options().stuck_after, usual);
 }
 
@@ -83,8 +99,8 @@
     job->stuck_logged_at = now + StuckTimeout(*job);
     asker()->Info("stuck: " + Explain(now, id));
     RepairCounts(now, job);
-    // One that only gathers is stopped as after the loss of a member: it starts anew when all of it
-    // is proved gone. One that runs may just take long.
+    // A gang that is still gathering is stopped as after the loss of a member, and starts anew once
+    // all of it is proved gone. One that runs may just take long.
     if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
       asker()->Info("stuck: " + id + " is stopped and tried again");
       gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
@@ -92,48 +108,49 @@
   }
 }
 
-// What is on machines is the truth, a job's counts are drawn from it. Where they differ there is a
-// fault in here; the job goes on all the same. A task that is said to be on a machine which holds
-// nothing of it is not simply started elsewhere: the machine goes back first, and the cloud's word
-// is the proof that nothing runs there.
-void StuckJobDetector::RepairCounts(Micros now, Job* job) {
-  int placed = 0, running = 0;
-  std::map<std::string, int> zones;
-  std::vector<char> there(job->tasks.size(), 0);
-  std::set<const Machine*> known;
+StuckJobDetector::JobCounts StuckJobDetector::CountAllocations(const Job& job) const {
+  JobCounts counts;
+  counts.on_machine.resize(job.tasks.size(), 0);
   for (auto& [id, m] : machine_table().machines()) {
-    known.insert(m.get());
+    counts.machines.insert(m.get());
     for (auto& [key, o] : m->allocations) {
-      if (o.job != job || o.exited()) continue;
-      ++placed;
-      running += o.phase == TaskPhase::kRunning;
-      ++zones[m->zone];
-      const TaskState& t = job->tasks[static_cast<size_t>(o.ref.task)];
-      if (t.machine == m.get() && t.attempt == o.attempt)
-        there[static_cast<size_t>(o.ref.task)] = 1;
+      if (o.job != &job || o.exited()) continue;
+      ++counts.placed;
+      counts.running += o.phase == TaskPhase::kRunning;
+      ++counts.by_zone[m->zone];
+      const auto task = static_cast<size_t>(o.ref.task);
+      const TaskState& t = job.tasks[task];
+      if (t.machine == m.get() && t.attempt == o.attempt) counts.on_machine[task] = 1;
     }
   }
+  return counts;
+}
+
+// Sets the job's counts to those of the machines' allocations, which are the truth; a difference is
+// a bug. A task that is said to be on a machine without such an allocation is not simply started
+// elsewhere: the machine is returned first, and the cloud's word proves that nothing runs there.
+void StuckJobDetector::RepairCounts(Micros now, Job* job) {
+  const JobCounts counts = CountAllocations(*job);
   std::map<std::string, Machine*> doubtful;  // by id
   int lost = 0;
   for (int i = 0; i < job->spec.tasks; ++i) {
     TaskState& t = job->tasks[static_cast<size_t>(i)];
-    if (t.stage == TaskStage::kPlaced && !there[static_cast<size_t>(i)]) {
-      ++lost;
-      if (known.contains(t.machine)) {
-        doubtful[t.machine->id] = t.machine;
-      } else {
-        job_table().RequeueTask(now, job, i, {});
-      }
+    if (t.stage != TaskStage::kPlaced || counts.on_machine[static_cast<size_t>(i)]) continue;
+    ++lost;
+    if (counts.machines.contains(t.machine)) {
+      doubtful[t.machine->id] = t.machine;
+    } else {
+      job_table().RequeueTask(now, job, i, {});
     }
   }
-  if (lost == 0 && placed == job->placed && running == job->running) return;
+  if (lost == 0 && counts.placed == job->placed && counts.running == job->running) return;
   asker()->Log(LogLine::Level::kError,
                "counts of " + job->spec.id + " were wrong: " + Text(job->placed) +
-                   " tasks on machines for " + Text(placed) + ", " + Text(job->running) +
-                   " running for " + Text(running) + ", " + Text(lost) + " lost");
-  job->placed = placed;
-  job->running = running;
-  job->zone_count = zones;
+                   " tasks on machines for " + Text(counts.placed) + ", " + Text(job->running) +
+                   " running for " + Text(counts.running) + ", " + Text(lost) + " lost");
+  job->placed = counts.placed;
+  job->running = counts.running;
+  job->zone_count = counts.by_zone;
   for (auto& [machine_id, m] : doubtful)
     machine_table().GiveBack(now, m, "it and the leader differ on what it runs");
 }
--- a/src/core/placement/guardrails.cpp
+++ b/src/core/placement/guardrails.cpp
@@ -1,53 +1,70 @@
 #include "core/placement/guardrails.h"
 
+#include <algorithm>
 #include <cmath>
 #include <functional>
 
 namespace badgershore {
+namespace {
+
+// Lower bounds against degenerate estimates.
+constexpr double kMinBucketSeconds = 0.001;
+constexpr double kMinWorkSeconds = 0.1;
+
+// The bucket of one second, so that shorter tasks have buckets, too.
+constexpr int kOneSecondBucket = 16;
+
+}  // namespace
 
 int SizeBucket(const JobSpec& spec, double width) {
   if (spec.kind == JobKind::kService) return kSizeBuckets - 1;
-  const double s = std::max(spec.estimated_runtime.ToSeconds(), 0.001);
-  const int k = static_cast<int>(std::floor(std::log(s) / std::log(width))) + 16;
-  return std::clamp(k, 0, kSizeBuckets - 2);
+  const double seconds = std::max(spec.estimated_runtime.ToSeconds(), kMinBucketSeconds);
+  const int exponent = static_cast<int>(std::floor(std::log(seconds) / std::log(width)));
+  return std::clamp(exponent + kOneSecondBucket, 0, kSizeBuckets - 2);
 }
 
 double NormalizedWork(const JobSpec& spec, const Resources& open) {
   const auto places = static_cast<double>(std::max<int64_t>(1, open.Holds(spec.need)));
-  return std::max(spec.estimated_runtime.ToSeconds(), 0.1) / places;
+  return std::max(spec.estimated_runtime.ToSeconds(), kMinWorkSeconds) / places;
 }
 
-LeastWorkPolicy::LeastWorkPolicy(const Job& job, const std::vector<EligibleMachine>& able)
-    : job_(job), able_(able) {
+LeastWorkPolicy::LeastWorkPolicy(const Job& job, const std::vector<EligibleMachine>& machines)
+    : job_(job), machines_(machines) {
   const auto bucket = static_cast<size_t>(job.bucket);
-  turns_.reserve(able.size());
-  for (size_t i = 0; i < able.size(); ++i) {
-    const double each = NormalizedWork(job.spec, able[i].open);
-    turns_.push_back({able[i].machine->dispatched_work[bucket] + each,
-                      !able[i].machine->HasImage(job.spec.image), i, each});
+  turns_.reserve(machines.size());
+  for (size_t i = 0; i < machines.size(); ++i) {
+    const Machine& m = *machines[i].machine;
+    const double task_work = NormalizedWork(job.spec, machines[i].open);
+    turns_.push_back(
+        {m.dispatched_work[bucket] + task_work, !m.HasImage(job.spec.image), i, task_work});
   }
   std::make_heap(turns_.begin(), turns_.end(), std::greater<>());
 }
 
 const EligibleMachine* LeastWorkPolicy::Next() {
   if (turns_.empty()) return nullptr;
-  if (turn_left_ == 0) {
+  if (tasks_left_in_turn_ == 0) {
     if (in_turn_) std::push_heap(turns_.begin(), turns_.end(), std::greater<>());
     in_turn_ = true;
     std::pop_heap(turns_.begin(), turns_.end(), std::greater<>());
-    const EligibleMachine& able = able_[turns_.back().index];
-    Resources taken = able.machine->Used();
-    // Where much waits, the first of hundreds of jobs in its queue fill the machine already.
-    for (const auto& [key, entry] : able.machine->queue) {
-      if (!job_.spec.need.Fits(able.machine->type->size - taken)) break;
-      taken = taken + entry.job->spec.need.Times(static_cast<int64_t>(entry.tasks.size()));
-    }
-    turn_left_ = std::max<int64_t>(1, (able.machine->type->size - taken).Holds(job_.spec.need));
+    const Machine& next = *machines_[turns_.back().index].machine;
+    tasks_left_in_turn_ = std::max<int64_t>(1, FreePlaces(next));
   }
-  --turn_left_;
+  --tasks_left_in_turn_;
   Turn& turn = turns_.back();
-  turn.received += turn.each;
-  return &able_[turn.index];
+  turn.received += turn.task_work;
+  return &machines_[turn.index];
+}
+
+// Tasks of the job that the machine can start beside what runs and is queued there.
+int64_t LeastWorkPolicy::FreePlaces(const Machine& m) const {
+  Resources taken = m.Used();
+  // Stops at the first jobs that fill the machine: under load its queue has hundreds of them.
+  for (const auto& [key, entry] : m.queue) {
+    if (!job_.spec.need.Fits(m.type->size - taken)) break;
+    taken = taken + entry.job->spec.need.Times(static_cast<int64_t>(entry.tasks.size()));
+  }
+  return (m.type->size - taken).Holds(job_.spec.need);
 }
 
 void InitializeDispatchedWork(Machine* machine, const std::vector<Machine*>& peers) {
