--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -251,8 +251,9 @@
     missing -= tasks;
   }
   if (stopped > 0) {
-    asker()->Debug("guarantee of " + job->spec.team + ": " + std::to_string(stopped) +
-                   " tasks of others stopped for " + std::to_string(held) + " of " + job->spec.id);
+    asker()->Debug("preempted " + std::to_string(stopped) +
+                   " tasks of other teams for the guarantee of " + job->spec.team + ": " +
+                   std::to_string(held) + " tasks of " + job->spec.id);
   }
 }
 
--- a/src/core/leader/gang_placement.cpp
+++ b/src/core/leader/gang_placement.cpp
@@ -40,8 +40,9 @@
       occupancy().Place(now, chosen[k], gang, members[k], gang->gang_attempt)->start_unsent = true;
     }
     gang_reservations().ReleaseReservation(gang);
-    asker()->Debug("gang " + gang->spec.id + " placed on " + chosen[0]->id + " after " +
-                   std::to_string((now - gang->submitted_at).ToMillis()) + " ms");
+    asker()->Debug("gang " + gang->spec.id + " placed, first member on machine " + chosen[0]->id +
+                   ", " + std::to_string((now - gang->submitted_at).ToMillis()) +
+                   " ms after submission");
     return true;
   }
   return false;
--- a/src/core/leader/gang_preemption.cpp
+++ b/src/core/leader/gang_preemption.cpp
@@ -97,18 +97,19 @@
   }
   std::sort(victims.begin(), victims.end(), LosesLess);
   double lost = 0;
-  bool any = false;
+  int preempted = 0;
   for (const Victim& victim : victims) {
     if (need.Fits(room)) break;
     Allocation* o = victim.allocation;
     RequestStop(o);
-    any = true;
+    ++preempted;
     room = room + o->need;
     lost += victim.lost.ToSeconds() * static_cast<double>(o->need.cpu) / 1000;
   }
-  if (!any) return;
-  asker()->Debug("clearing " + m->id + " for gang " + gang.spec.id + ", " +
-                 std::to_string(static_cast<int>(lost)) + " CPU seconds lost");
+  if (preempted == 0) return;
+  asker()->Debug("preempted " + std::to_string(preempted) + " tasks on machine " + m->id +
+                 " for gang " + gang.spec.id + ", " + std::to_string(static_cast<int>(lost)) +
+                 " CPU seconds lost");
   dispatch().Unbind(m);
   machine_table().HaltNow(now, m);
 }
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -56,8 +56,9 @@
   smallest_need_ = jobs_.empty() ? spec.need : ElementwiseMin(smallest_need_, spec.need);
   ForecastArrival(now, *job);
   jobs_[spec.id] = std::move(job);
-  asker()->Debug("job " + spec.id + " " + spec.job_class + " tasks " + std::to_string(spec.tasks) +
-                 " estimate " + std::to_string(spec.estimated_runtime.ToSeconds()));
+  asker()->Debug("job " + spec.id + " added: class " + spec.job_class + ", " +
+                 std::to_string(spec.tasks) + " tasks, estimated run time " +
+                 std::to_string(spec.estimated_runtime.ToSeconds()) + " s");
 }
 
 std::unique_ptr<Job> JobTable::MakeJob(Micros now, const JobSpec& spec, uint64_t version) const {
@@ -149,7 +150,7 @@
   if (it == jobs_.end()) return;
   Job* job = it->second.get();
   DetachJob(now, job);
-  asker()->Debug("job " + id + " over, " + std::to_string(job->done) + " tasks done");
+  asker()->Debug("job " + id + " ended, " + std::to_string(job->done) + " tasks done");
   jobs_.erase(it);
   StopTasks(now, id);
 }
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -28,19 +28,19 @@
 
 // Every condition of the job's next step, in the order in which it would meet them.
 std::string StuckJobDetector::WaitReason(Micros now, const Job& job) const {
-  if (job.finishing) return "all done, its end waits to be written";
+  if (job.finishing) return "all tasks done, its end is not recorded yet";
   if (job.cancel_pending) return "its cancellation is being recorded";
   if (machine_table().Held(job))
     return Text(static_cast<int64_t>(machine_table().unresolved().size())) + " machines unresolved";
-  if (!election()->MayStart(now)) return "the lease does not hold";
-  if (!authority().MayStart(now)) return "what was cancelled of late is not known";
+  if (!election()->MayStart(now)) return "leader lease not held";
+  if (!authority().MayStart(now)) return "recent cancellations not known";
   if (!occupancy().LimitAllows(job, job.IsGang() ? job.remaining() - job.placed : 1))
-    return "its team's limit";
-  if (job.IsGang() && job.gang_stopping) return "its last attempt is being stopped";
-  if (now < job.backoff_until) return "a pause after failures";
+    return "team limit reached";
+  if (job.IsGang() && job.gang_stopping) return "its last attempt is still being stopped";
+  if (now < job.backoff_until) return "backoff after failures";
   if (!job.IsGang() && !job.delayed.empty() && job.waiting.empty() && job.queued == 0 &&
       job.placed == 0) {
-    return "a pause after failures";
+    return "backoff after failures";
   }
   return MachineWaitReason(now, job);
 }
@@ -58,25 +58,26 @@
     unrecorded += !m->durable;
     with_room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
   }
-  if (eligible == 0) return "no machine that may hold it";
-  if (ready == 0) return "none of its " + Text(eligible) + " machines is ready";
-  if (with_room == 0) return "no room on " + Text(ready) + " machines";
-  if (unrecorded == ready) return "the records of its machines wait to be written";
-  if (job.placed > 0) return "its tasks on machines do not end";
-  return "room on " + Text(with_room) + " of " + Text(ready) + " machines, and nothing in the way";
+  if (eligible == 0) return "no eligible machine";
+  if (ready == 0) return "none of " + Text(eligible) + " eligible machines is ready";
+  if (with_room == 0) return "insufficient free resources on " + Text(ready) + " ready machines";
+  if (unrecorded == ready) return "machine records not durable yet";
+  if (job.placed > 0) return "its placed tasks do not end";
+  return "free resources on " + Text(with_room) + " of " + Text(ready) +
+         " ready machines, no known cause";
 }
 
 std::string StuckJobDetector::Explain(Micros now, const std::string& id) const {
   auto it = job_table().jobs().find(id);
-  if (it == job_table().jobs().end()) return id + ": not known to the leader";
+  if (it == job_table().jobs().end()) return id + ": unknown to the leader";
   const Job& job = *it->second;
   std::string out = id + ": " + Text(job.done) + " of " + Text(job.spec.tasks) + " tasks done, " +
-                    Text(job.placed) + " on machines, " + Text(job.running) + " running, " +
-                    Text(job.queued) + " in queues";
+                    Text(job.placed) + " placed, " + Text(job.running) + " running, " +
+                    Text(job.queued) + " queued";
   if (job.IsGang()) {
     out += ", attempt " + Text(static_cast<int64_t>(job.gang_attempt & kAttemptInTermMask));
   }
-  return out + "; not moved for " + Text((now - job.progressed_at).ToMillis() / 1000) +
+  return out + "; no progress for " + Text((now - job.progressed_at).ToMillis() / 1000) +
          " s: " + WaitReason(now, job);
 }
 
@@ -102,7 +103,7 @@
     // A gang that is still gathering is stopped as after the loss of a member, and starts anew once
     // all of it is proved gone. One that runs may just take long.
     if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
-      asker()->Info("stuck: " + id + " is stopped and tried again");
+      asker()->Info("stuck: gang " + id + " stopped, restarts once all members are gone");
       gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
     }
   }
@@ -145,14 +146,14 @@
   }
   if (lost == 0 && counts.placed == job->placed && counts.running == job->running) return;
   asker()->Log(LogLine::Level::kError,
-               "counts of " + job->spec.id + " were wrong: " + Text(job->placed) +
-                   " tasks on machines for " + Text(counts.placed) + ", " + Text(job->running) +
-                   " running for " + Text(counts.running) + ", " + Text(lost) + " lost");
+               "task counts of " + job->spec.id + " corrected: placed " + Text(job->placed) +
+                   " to " + Text(counts.placed) + ", running " + Text(job->running) + " to " +
+                   Text(counts.running) + ", " + Text(lost) + " tasks lost");
   job->placed = counts.placed;
   job->running = counts.running;
   job->zone_count = counts.by_zone;
   for (auto& [machine_id, m] : doubtful)
-    machine_table().GiveBack(now, m, "it and the leader differ on what it runs");
+    machine_table().GiveBack(now, m, "its allocations differ from the leader's task states");
 }
 
 }  // namespace badgershore
