--- a/src/core/frontend/controller.cpp
+++ b/src/core/frontend/controller.cpp
@@ -22,7 +22,7 @@
   };
   callbacks.lost = [this](Micros) {
     former_ = std::move(leader_);
-    former_->Dismiss();
+    former_->RejectPending();
   };
   callbacks.control = [this](Micros now, const Entry& e) { OnControl(now, e); };
   election_ = std::make_unique<Election>(&asker_, settings_.member, position, options_.lease,
@@ -269,15 +269,15 @@
     election_->StepDown(now, "a worker has seen a higher fencing token");
   }
   if (leader_) {
-    const auto verdict = leader_->Checkin(now, token, report, &answer.commands);
-    if (verdict != Leader::Verdict::kStale) checkin_at_ = now;
-    if (verdict == Leader::Verdict::kLater) return;
-    if (verdict == Leader::Verdict::kStale)
+    const auto verdict = leader_->HandleHeartbeat(now, token, report, &answer.commands);
+    if (verdict != Leader::HeartbeatOutcome::kSuperseded) checkin_at_ = now;
+    if (verdict == Leader::HeartbeatOutcome::kAnswerLater) return;
+    if (verdict == Leader::HeartbeatOutcome::kSuperseded)
       return asker_.out.heartbeat_responses.push_back(std::move(answer));
-    if (verdict == Leader::Verdict::kAnswer) {
+    if (verdict == Leader::HeartbeatOutcome::kAnswer) {
       answer.status = 200;
       answer.fencing_token = election_->term();
-      answer.valid_until = leader_->GoodUntil(answer.commands);
+      answer.valid_until = leader_->ValidUntil(answer.commands);
       asker_.out.heartbeat_responses.push_back(std::move(answer));
       return;
     }
--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -1,7 +1,7 @@
 // Machines' queues, starts, and the paper's dispatch of waiting tasks.
 #include "core/leader/dispatch.h"
 
-#include "core/leader/blame.h"
+#include "core/leader/fault_attribution.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
@@ -262,7 +262,7 @@
     }
     if (job->IsGang() || job->waiting.empty() || job->queued >= options().bind_window ||
         !occupancy().LimitAllows(*job, 1) || machine_table().Held(*job) ||
-        blame().MayBind(now, *job) == 0) {
+        fault_attribution().StartsAllowed(now, *job) == 0) {
       continue;
     }
     if (!std::exchange(looked, true)) {
@@ -282,7 +282,7 @@
     }
     if (able.empty()) continue;
     LeastReceived turns(*job, able);
-    int may = blame().MayBind(now, *job);
+    int may = fault_attribution().StartsAllowed(now, *job);
     while (!job->waiting.empty() && job->queued < options().bind_window && may > 0) {
       const int task = job->waiting.front();
       job->waiting.pop_front();
--- /dev/null
+++ b/src/core/leader/heartbeat_handler.cpp
@@ -0,0 +1,201 @@
+#include "core/leader/heartbeat_handler.h"
+
+#include "core/leader/dispatch.h"
+#include "core/leader/job_table.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/recorder.h"
+
+namespace badgershore {
+namespace {
+
+// Covers rounding and the time between computing an answer and sending it.
+constexpr Micros kAgentLeaseMargin = Millis(200);
+// An agent that still sends the old term this long after an answer does not receive answers. In
+// heartbeat intervals, plus a fixed part.
+constexpr double kUnknownTermIntervals = 2.5;
+constexpr Micros kUnknownTermMargin = Seconds(4);
+
+}  // namespace
+
+// Only starts are bounded: the process may be suspended between a decision and its sending.
+Micros HeartbeatHandler::ValidUntil(const std::vector<Command>& commands) const {
+  const bool starts = std::any_of(commands.begin(), commands.end(), [](const Command& command) {
+    return command.verb == Command::Verb::kStart;
+  });
+  return starts ? authority().start_until() : kNever;
+}
+
+HeartbeatHandler::Outcome HeartbeatHandler::Handle(Micros now, RequestId request_id,
+                                                   const Heartbeat& heartbeat,
+                                                   std::vector<Command>* commands) {
+  if (!authority().MayAnswer(now)) return Outcome::kReject;
+  // Duplicates of heartbeats can arrive late, even for removed machines. No state of a machine may
+  // change before the heartbeat is known to be the agent's latest.
+  if (machine_table().Buried(heartbeat.machine)) return Outcome::kSuperseded;
+  Machine* machine = machine_table().Find(heartbeat.machine);
+  if (machine && machine->IsSuperseded(heartbeat)) return Outcome::kSuperseded;
+  // Starts go only to agents that have seen this term, so that they reject earlier leaders'
+  // commands.
+  if (heartbeat.fencing_token != election()->term()) {
+    return AnswerUnknownTerm(now, heartbeat, commands);
+  }
+  if (!machine) {
+    machine = machine_table().Adopt(now, heartbeat.machine, heartbeat.endpoint, heartbeat.type,
+                                    heartbeat.zone, heartbeat.spot);
+  }
+  ExtendAgentLease(now, machine);
+  const bool fresh = machine_table().Absorb(now, machine, heartbeat, true);
+  machine->heartbeat_sequence = heartbeat.sequence;
+  machine->first_answered_at = {-1};
+  if (!fresh) {  // the answer to a direct call was newer
+    AppendStops(*machine, commands);
+    return Outcome::kAnswer;
+  }
+  machine_table().Resolve(now, machine);
+  if (!machine->durable && authority().MayStart(now)) {
+    recorder().Keep(now, machine);
+    AddPending(now, machine, request_id);
+    recorder().Write(now);
+    return Outcome::kAnswerLater;
+  }
+  AnswerPending(now, machine);  // older heartbeats, whose answers the agent no longer awaits
+  AppendCommands(now, machine, commands);
+  if (commands->empty() && ShouldDelayAnswer(now, *machine)) {
+    AddPending(now, machine, request_id);
+    return Outcome::kAnswerLater;
+  }
+  // A client may be waiting to see its job finish.
+  if (recorder().finishing()) recorder().Write(now);
+  return Outcome::kAnswer;
+}
+
+void HeartbeatHandler::AddPending(Micros now, Machine* machine, RequestId request_id) const {
+  machine->pending_heartbeats.push_back(request_id);
+  machine->heartbeats_pending_since = now;
+}
+
+void HeartbeatHandler::ExtendAgentLease(Micros now, Machine* machine) const {
+  machine->agent_lease_until =
+      std::max(machine->agent_lease_until,
+               now + settings().agent_lease.Scaled(1 + kClockDrift) + kAgentLeaseMargin);
+}
+
+// The age of such a heartbeat is unknown, so its content is not used. The answer tells the agent
+// the new term and stops its tasks of finished jobs: otherwise a quick succession of leaders could
+// extend their lease again and again. An agent that keeps sending the old term does not receive
+// the answers; it is rejected after a while so that its lease expires.
+HeartbeatHandler::Outcome HeartbeatHandler::AnswerUnknownTerm(Micros now,
+                                                              const Heartbeat& heartbeat,
+                                                              std::vector<Command>* commands) {
+  if (Machine* machine = machine_table().Find(heartbeat.machine)) {
+    if (now > machine->agent_lease_until) {
+      // The failure detector has yet to drop the allocations of the expired lease.
+      if (!machine->reconciled || !machine->allocations.empty()) return Outcome::kReject;
+      machine->first_answered_at = now;
+    }
+    if (machine->first_answered_at.count < 0) machine->first_answered_at = now;
+    if (now - machine->first_answered_at >
+        settings().heartbeat_interval.Scaled(kUnknownTermIntervals) + kUnknownTermMargin) {
+      return Outcome::kReject;
+    }
+    ExtendAgentLease(now, machine);
+  }
+  for (const TaskStatus& task : heartbeat.tasks) {
+    if (task.phase != TaskPhase::kExited && !job_table().jobs().contains(task.ref.job)) {
+      commands->push_back({Command::Verb::kStop, task.ref, task.attempt, {}});
+    }
+  }
+  return Outcome::kAnswer;
+}
+
+void HeartbeatHandler::RejectPending() {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    for (const RequestId request_id : std::exchange(machine->pending_heartbeats, {})) {
+      asker()->out.heartbeat_responses.push_back({request_id, 503, "", 0, {}});
+    }
+  }
+}
+
+// An idle machine's answer is held back for a while, so that new work starts on it at once instead
+// of with its next heartbeat, seconds later.
+bool HeartbeatHandler::ShouldDelayAnswer(Micros now, const Machine& machine) const {
+  return options().hold_checkin.count > 0 && machine.durable && machine.allocations.empty() &&
+         machine.queue.empty() && !machine.preemption_at && machine_table().Ready(machine, now) &&
+         authority().MayStart(now);
+}
+
+void HeartbeatHandler::AnswerReady(Micros now) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->pending_heartbeats.empty() || !machine->durable) continue;
+    if (machine->allocations.empty() && machine->queue.empty() &&
+        now - machine->heartbeats_pending_since < options().hold_checkin) {
+      continue;
+    }
+    AnswerPending(now, machine.get());
+  }
+}
+
+void HeartbeatHandler::AnswerPending(Micros now, Machine* machine) {
+  const std::vector<RequestId>& pending = machine->pending_heartbeats;
+  for (size_t i = 0; i < pending.size(); ++i) {
+    HeartbeatResponse answer;
+    answer.request_id = pending[i];
+    answer.status = 200;
+    answer.fencing_token = election()->term();
+    // Only the newest request is certain to be awaited still.
+    if (i + 1 == pending.size()) AppendCommands(now, machine, &answer.commands);
+    answer.valid_until = ValidUntil(answer.commands);
+    asker()->out.heartbeat_responses.push_back(std::move(answer));
+  }
+  machine->pending_heartbeats.clear();
+}
+
+void HeartbeatHandler::AppendStops(const Machine& machine, std::vector<Command>* commands) const {
+  for (const auto& [key, allocation] : machine.allocations) {
+    if (allocation.stop_requested && !allocation.exited() && !allocation.start_unsent) {
+      commands->push_back(
+          {Command::Verb::kStop, allocation.ref, allocation.attempt, allocation.grace_period});
+    }
+  }
+}
+
+void HeartbeatHandler::AppendForgets(const Machine& machine, std::vector<Command>* commands) const {
+  for (const auto& [key, allocation] : machine.allocations) {
+    if (!allocation.exited()) continue;
+    // The agent may forget a completion only once it is durable here.
+    const bool completion_unrecorded =
+        allocation.exit_reason == ExitReason::kDone && allocation.job &&
+        !allocation.job->IsService() &&
+        !allocation.job->tasks[static_cast<size_t>(allocation.ref.task)].durable;
+    if (completion_unrecorded) continue;
+    commands->push_back({Command::Verb::kForget, allocation.ref, allocation.attempt, {}});
+  }
+}
+
+void HeartbeatHandler::AppendReservedStarts(Machine* machine,
+                                            std::vector<Command>* commands) const {
+  for (auto& [key, allocation] : machine->allocations) {
+    if (!allocation.start_unsent || !allocation.job || allocation.job->cancel_pending) continue;
+    allocation.start_unsent = false;
+    allocation.sent_epoch = machine->agent_epoch;
+    allocation.sent_sequence = machine->sequence;
+    commands->push_back({Command::Verb::kStart, allocation.ref, allocation.attempt, {}});
+  }
+}
+
+void HeartbeatHandler::AppendCommands(Micros now, Machine* machine,
+                                      std::vector<Command>* commands) {
+  AppendStops(*machine, commands);
+  AppendForgets(*machine, commands);
+  if (!authority().MayStart(now) || !machine->durable || !machine->reconciled || !machine->type) {
+    return;
+  }
+  if (machine->stage != MachineStage::kUp) return;
+  AppendReservedStarts(machine, commands);
+  if (!machine_table().Ready(*machine, now)) return;
+  dispatch().BindWaiting(now);
+  dispatch().StartFrom(now, machine, commands);
+  if (!machine->allocations.empty()) machine->idle_since = {-1};
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/heartbeat_handler.h
@@ -0,0 +1,48 @@
+// Answers to agents' heartbeats: the commands to stop, forget and start tasks.
+#pragma once
+
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+
+namespace badgershore {
+
+// Decides how each heartbeat is answered and keeps the ones whose answer has to wait.
+class HeartbeatHandler : public Part {
+ public:
+  using Part::Part;
+
+  enum class Outcome {
+    kAnswer,       // answer now, with the returned commands
+    kAnswerLater,  // the answer follows among the effects, under the request's id
+    kReject,       // this controller may not answer: the agent has to look for another one
+    kSuperseded,   // the agent has sent a newer heartbeat, so nobody awaits this answer
+  };
+
+  // Processes a heartbeat. `commands` is filled in for Outcome::kAnswer only.
+  Outcome Handle(Micros now, RequestId request_id, const Heartbeat& heartbeat,
+                 std::vector<Command>* commands);
+  // Answers all pending heartbeats of the machine.
+  void AnswerPending(Micros now, Machine* machine);
+  // Answers the pending heartbeats of machines that have work, or that have waited long enough.
+  void AnswerReady(Micros now);
+  // Until when an answer with these commands may leave this process; kNever: no bound.
+  Micros ValidUntil(const std::vector<Command>& commands) const;
+  // Rejects all pending heartbeats; for the end of the term.
+  void RejectPending();
+
+ private:
+  // For an agent that has not seen this term's fencing token yet.
+  Outcome AnswerUnknownTerm(Micros now, const Heartbeat& heartbeat, std::vector<Command>* commands);
+  // Notes that an answer lets the agent's tasks run for another agent lease.
+  void ExtendAgentLease(Micros now, Machine* machine) const;
+  bool ShouldDelayAnswer(Micros now, const Machine& machine) const;
+  void AddPending(Micros now, Machine* machine, RequestId request_id) const;
+  void AppendStops(const Machine& machine, std::vector<Command>* commands) const;
+  void AppendForgets(const Machine& machine, std::vector<Command>* commands) const;
+  void AppendReservedStarts(Machine* machine, std::vector<Command>* commands) const;
+  void AppendCommands(Micros now, Machine* machine, std::vector<Command>* commands);
+};
+
+}  // namespace badgershore
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -24,7 +24,7 @@
 Leader::Leader(LeaderContext context, Micros now, int64_t time_of_day_ms)
     : context_(std::move(context)),
       scaler_(*context_.options),
-      blame_(&context_),
+      fault_attribution_(&context_),
       job_table_(&context_),
       occupancy_(&context_),
       machine_table_(&context_),
@@ -33,13 +33,13 @@
       recorder_(&context_, now),
       provisioner_(&context_),
       rights_(&context_),
-      checkins_(&context_),
+      heartbeat_handler_(&context_),
       sharing_(&context_),
       supervisor_(&context_) {
   context_.began = ticked_at_ = now;
   context_.began_ms = time_of_day_ms;
   context_.scaler = &scaler_;
-  context_.blame = &blame_;
+  context_.fault_attribution = &fault_attribution_;
   context_.job_table = &job_table_;
   context_.occupancy = &occupancy_;
   context_.machine_table = &machine_table_;
@@ -48,7 +48,7 @@
   context_.recorder = &recorder_;
   context_.provisioner = &provisioner_;
   context_.rights = &rights_;
-  context_.checkins = &checkins_;
+  context_.heartbeat_handler = &heartbeat_handler_;
   context_.sharing = &sharing_;
   context_.supervisor = &supervisor_;
   jobs_mirror_ = std::make_unique<Mirror>(
@@ -107,32 +107,33 @@
   for (EarlyReport& e : std::exchange(early_, {})) {
     HeartbeatResponse answer;
     answer.request_id = e.token;
-    const Verdict verdict = Checkin(now, e.token, e.report, &answer.commands);
-    if (verdict == Verdict::kLater) continue;
-    if (verdict == Verdict::kAnswer) {
+    const HeartbeatOutcome outcome = HandleHeartbeat(now, e.token, e.report, &answer.commands);
+    if (outcome == HeartbeatOutcome::kAnswerLater) continue;
+    if (outcome == HeartbeatOutcome::kAnswer) {
       answer.status = 200;
       answer.fencing_token = context_.election->term();
-      answer.valid_until = GoodUntil(answer.commands);
+      answer.valid_until = ValidUntil(answer.commands);
     }
     context_.asker->out.heartbeat_responses.push_back(std::move(answer));
   }
 }
 
-void Leader::Dismiss() {
+void Leader::RejectPending() {
   for (const EarlyReport& e : std::exchange(early_, {})) {
     context_.asker->out.heartbeat_responses.push_back({e.token, 503, "", 0, {}});
   }
-  checkins_.Dismiss();
+  heartbeat_handler_.RejectPending();
 }
 
-Leader::Verdict Leader::Checkin(Micros now, RequestId token, const Heartbeat& report,
-                                std::vector<Command>* orders) {
+Leader::HeartbeatOutcome Leader::HandleHeartbeat(Micros now, RequestId token,
+                                                 const Heartbeat& report,
+                                                 std::vector<Command>* orders) {
   if (!ready_) {
-    if (early_.size() >= kMostEarly) return Verdict::kCannot;
+    if (early_.size() >= kMostEarly) return HeartbeatOutcome::kReject;
     early_.push_back({now, token, report});
-    return Verdict::kLater;
+    return HeartbeatOutcome::kAnswerLater;
   }
-  return checkins_.Take(now, token, report, orders);
+  return heartbeat_handler_.Handle(now, token, report, orders);
 }
 
 void Leader::Tick(Micros now) {
@@ -163,7 +164,7 @@
   gangs_.Tick(now);
   dispatch_.KeepForUnbegun(now);
   dispatch_.BindWaiting(now);
-  checkins_.AnswerReady(now);
+  heartbeat_handler_.AnswerReady(now);
   recorder_.Write(now);
   provisioner_.Tick(now);
   assert(CountFault().empty());
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -8,10 +8,10 @@
 #include <vector>
 
 #include "core/frontend/mirror.h"
-#include "core/leader/blame.h"
-#include "core/leader/checkins.h"
 #include "core/leader/dispatch.h"
+#include "core/leader/fault_attribution.h"
 #include "core/leader/gangs.h"
+#include "core/leader/heartbeat_handler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/occupancy.h"
@@ -32,16 +32,18 @@
   ~Leader();
 
   void Tick(Micros now);
-  // What to say to a report. kLater: the answer comes among the effects, by its token. Before the
-  // records are read all answers wait: they would keep tasks alive of jobs that are cancelled.
-  using Verdict = Checkins::Verdict;
-  Verdict Checkin(Micros now, RequestId token, const Heartbeat& report,
-                  std::vector<Command>* orders);
+  // What to say to a report. kAnswerLater: the answer comes among the effects, by its token. Before
+  // the records are read all answers wait: they would keep tasks alive of jobs that are cancelled.
+  using HeartbeatOutcome = HeartbeatHandler::Outcome;
+  HeartbeatOutcome HandleHeartbeat(Micros now, RequestId token, const Heartbeat& report,
+                                   std::vector<Command>* orders);
   JobStatus Digest(const std::string& job) const { return job_table_.Digest(job); }
   std::vector<JobStatus> Digests() const { return job_table_.Digests(); }
-  Micros GoodUntil(const std::vector<Command>& orders) const { return checkins_.GoodUntil(orders); }
+  Micros ValidUntil(const std::vector<Command>& orders) const {
+    return heartbeat_handler_.ValidUntil(orders);
+  }
   // The term is over: whoever still waits for an answer is to look elsewhere.
-  void Dismiss();
+  void RejectPending();
   void OnCell(Micros now, const limits::CellMessage& note) { rights_.OnNote(now, note); }
   void CallOff(Micros now, const std::string& job) { job_table_.CallOff(now, job); }
   // It is recorded: halts leave at once, though this leader may be the one that can't read it.
@@ -83,7 +85,7 @@
   };
   std::deque<EarlyReport> early_;  // came before the records were read
   Autoscaler scaler_;
-  Blame blame_;
+  FaultAttribution fault_attribution_;
   JobTable job_table_;
   Occupancy occupancy_;
   MachineTable machine_table_;
@@ -92,7 +94,7 @@
   Recorder recorder_;
   Provisioner provisioner_;
   Rights rights_;
-  Checkins checkins_;
+  HeartbeatHandler heartbeat_handler_;
   Sharing sharing_;
   Supervisor supervisor_;
 };
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -1,10 +1,10 @@
 // The term's machines: what reports prove of each, silence, resolving after a takeover.
 #include "core/leader/machine_table.h"
 
-#include "core/leader/blame.h"
-#include "core/leader/checkins.h"
 #include "core/leader/dispatch.h"
+#include "core/leader/fault_attribution.h"
 #include "core/leader/gangs.h"
+#include "core/leader/heartbeat_handler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/occupancy.h"
 #include "core/leader/provisioner.h"
@@ -310,7 +310,7 @@
   TaskState& t = job->tasks[static_cast<size_t>(o->ref.task)];
   const bool current = t.stage == TaskStage::kPlaced && t.machine == m && t.attempt == o->attempt;
   if (cause == ExitReason::kDone) {
-    blame().Done(now, m, job);
+    fault_attribution().OnTaskDone(now, m, job);
     job_table().MarkDone(now, job, o->ref.task);
     if (job->IsService() && current) job_table().TaskBack(now, job, o->ref.task, Seconds(1));
     return;
@@ -319,9 +319,10 @@
   if (cause == ExitReason::kError) {
     asker()->Debug("task " + o->ref.job + "/" + std::to_string(o->ref.task) + " failed on " +
                    m->id);
-    const Blame::Verdict verdict = blame().Failed(now, m, job, o->ref.task);
-    pause = verdict.pause;
-    if (verdict.machine_at_fault) GiveBack(now, m, "its tasks fail");
+    const FaultAttribution::Attribution attribution =
+        fault_attribution().OnTaskFailed(now, m, job, o->ref.task);
+    pause = attribution.retry_delay;
+    if (attribution.machine_at_fault) GiveBack(now, m, "its tasks fail");
   } else if (cause == ExitReason::kInsufficientResources) {
     m->start_backoff_until = now + Seconds(2);
   } else if (cause == ExitReason::kUnknownTask) {
@@ -394,7 +395,7 @@
   for (auto& [id, ptr] : machines_) {
     Machine* m = ptr.get();
     if (!m->pending_heartbeats.empty() && now - m->heartbeats_pending_since > Millis(1500))
-      checkins().AnswerHeld(now, m);
+      heartbeat_handler().AnswerPending(now, m);
     if (holds && m->agent_lease_until.count > 0 && now > m->agent_lease_until &&
         (!m->allocations.empty() || !m->reconciled)) {
       asker()->Info("the lease of " + id + " has run out");
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -16,9 +16,9 @@
 namespace badgershore {
 
 class Autoscaler;
-class Blame;
+class FaultAttribution;
 class JobTable;
-class Checkins;
+class HeartbeatHandler;
 class Dispatch;
 class Gangs;
 class Occupancy;
@@ -43,9 +43,9 @@
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   Autoscaler* scaler = nullptr;
-  Blame* blame = nullptr;
+  FaultAttribution* fault_attribution = nullptr;
   JobTable* job_table = nullptr;
-  Checkins* checkins = nullptr;
+  HeartbeatHandler* heartbeat_handler = nullptr;
   Dispatch* dispatch = nullptr;
   Gangs* gangs = nullptr;
   Occupancy* occupancy = nullptr;
@@ -75,9 +75,9 @@
   int64_t began_ms() const { return context_->began_ms; }
 
   Autoscaler& scaler() const { return *context_->scaler; }
-  Blame& blame() const { return *context_->blame; }
+  FaultAttribution& fault_attribution() const { return *context_->fault_attribution; }
   JobTable& job_table() const { return *context_->job_table; }
-  Checkins& checkins() const { return *context_->checkins; }
+  HeartbeatHandler& heartbeat_handler() const { return *context_->heartbeat_handler; }
   Dispatch& dispatch() const { return *context_->dispatch; }
   Gangs& gangs() const { return *context_->gangs; }
   Occupancy& occupancy() const { return *context_->occupancy; }
--- a/src/core/leader/recorder.cpp
+++ b/src/core/leader/recorder.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "core/leader/checkins.h"
+#include "core/leader/heartbeat_handler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 
@@ -237,7 +237,7 @@
         Machine* m = machine_table().Find(id);
         if (!m) continue;
         m->durable = true;
-        checkins().AnswerHeld(now, m);
+        heartbeat_handler().AnswerPending(now, m);
       }
       for (const auto& [id, task] : piece.tasks) {
         auto it = job_table().jobs().find(id);
