--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -4,8 +4,9 @@
 #include "core/leader/fault_attribution.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
 #include "core/leader/sharing.h"
+#include "core/leader/usage_accounting.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
@@ -30,8 +31,8 @@
                         std::vector<Command>* orders) {
   --job->queued;
   if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;  // the room is taken
-  const uint64_t attempt = occupancy().NextAttempt();
-  occupancy().Place(now, m, job, task, attempt);
+  const uint64_t attempt = usage_accounting().NextAttempt();
+  usage_accounting().PlaceTask(now, m, job, task, attempt);
   *used = *used + job->spec.need;
   orders->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
 }
@@ -67,7 +68,7 @@
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
     if (job->IsGang() || job->queued == 0 || !job->IsUnstarted(now, options().age_limit)) continue;
-    if (!occupancy().LimitAllows(*job, 1) || machine_table().Held(*job)) continue;
+    if (!quota_checker().Allows(*job, 1) || machine_table().Held(*job)) continue;
     Job*& first = oldest[job->team];
     if (!first || job->submitted_at < first->submitted_at) first = job;
   }
@@ -80,7 +81,7 @@
       }
       if (!machine_table().Ready(*m, now) || m->reserved_for ||
           (m->held_for && now < m->held_until) || !Allows(job->spec, *m->type, m->zone, m->spot) ||
-          !occupancy().ZoneAllows(*job, m->zone) ||
+          !usage_accounting().ZoneAllows(*job, m->zone) ||
           !job->spec.need.Fits(m->type->size - m->GangUse())) {
         continue;
       }
@@ -122,9 +123,9 @@
         before > 0 ||
         (before == 0 && (claim > best_claim || (claim > 0 && claim == best_claim &&
                                                 job->submitted_at < best->job->submitted_at)));
-    if (!better || !occupancy().LimitAllows(*job, 1)) continue;
+    if (!better || !quota_checker().Allows(*job, 1)) continue;
     if (!job->spec.need.Fits(RoomFor(*m, *job, *used, now)) || machine_table().Held(*job) ||
-        !occupancy().ZoneAllows(*job, m->zone)) {
+        !usage_accounting().ZoneAllows(*job, m->zone)) {
       continue;
     }
     best = &entry;
@@ -155,7 +156,7 @@
 bool Dispatch::FitsHere(Micros now, const Job& job, const Machine& m, const Resources& used) const {
   return Allows(job.spec, *m.type, m.zone, m.spot) && !Shuns(now, job, m) &&
          job.spec.need.Fits(RoomFor(m, job, used, now)) && !machine_table().Held(job) &&
-         occupancy().ZoneAllows(job, m.zone);
+         usage_accounting().ZoneAllows(job, m.zone);
 }
 
 void Dispatch::MoveHere(Micros now, Machine* m, Job* job, Resources* used,
@@ -172,7 +173,7 @@
 bool Dispatch::TakePressing(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   Job* best = nullptr;
   for (Job* job : sharing().pressing()) {
-    if (!Movable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
+    if (!Movable(now, job) || !quota_checker().Allows(*job, 1)) continue;
     if (best) {
       const int before = sharing().Before(*job, *best);
       if (before < 0 ||
@@ -194,7 +195,7 @@
   Job* best = nullptr;
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
-    if (!Movable(now, job) || !occupancy().LimitAllows(*job, 1)) continue;
+    if (!Movable(now, job) || !quota_checker().Allows(*job, 1)) continue;
     const auto order = [&](const Job* j) {
       return std::make_tuple(-Claim(now, *j), j->spec.priority, j->spec.estimated_runtime);
     };
@@ -261,7 +262,7 @@
       job->delayed.erase(job->delayed.begin());
     }
     if (job->IsGang() || job->waiting.empty() || job->queued >= options().bind_window ||
-        !occupancy().LimitAllows(*job, 1) || machine_table().Held(*job) ||
+        !quota_checker().Allows(*job, 1) || machine_table().Held(*job) ||
         fault_attribution().StartsAllowed(now, *job) == 0) {
       continue;
     }
@@ -275,7 +276,7 @@
     bind_budget_ -= static_cast<double>(ready.size() + job->waiting.size());
     for (const auto& [m, gangs] : ready) {
       if (!Allows(job->spec, *m->type, m->zone, m->spot)) continue;
-      if (!occupancy().ZoneAllows(*job, m->zone) || Shuns(now, *job, *m)) continue;
+      if (!usage_accounting().ZoneAllows(*job, m->zone) || Shuns(now, *job, *m)) continue;
       const Resources open = RoomFor(*m, *job, gangs, now);
       if (!job->spec.need.Fits(open)) continue;
       able.push_back({m, open});
--- a/src/core/leader/gangs.cpp
+++ b/src/core/leader/gangs.cpp
@@ -4,8 +4,10 @@
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/quota_reservations.h"
 #include "core/leader/sharing.h"
+#include "core/leader/usage_accounting.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
@@ -43,7 +45,7 @@
   std::sort(gangs.begin(), gangs.end(),
             [&](const Job* a, const Job* b) { return order(a) < order(b); });
   waiting_.clear();
-  occupancy().DropClaims();
+  quota_reservations().Clear();
   for (Job* job : gangs) {
     const bool waited = job->placed == 0;
     Follow(now, job);
@@ -58,8 +60,8 @@
       Release(job);
       continue;
     }
-    const bool allowed = occupancy().LimitAllows(*job, job->remaining());
-    if (!allowed && !occupancy().LimitCouldAllow(*job, job->remaining())) {
+    const bool allowed = quota_checker().Allows(*job, job->remaining());
+    if (!allowed && !quota_checker().AllowsAfterPreemption(*job, job->remaining())) {
       Release(job);  // what is kept for it would stand empty
       job->quota_blocked_since = kNever;
     } else {
@@ -67,7 +69,8 @@
       job->quota_blocked_since = allowed ? kNever : std::min(job->quota_blocked_since, now);
     }
     // One that goes before its turn keeps its part while its machines are being cleared, too.
-    if (!allowed || pressed.at(job->team) == job) occupancy().Claim(*job, job->remaining());
+    if (!allowed || pressed.at(job->team) == job)
+      quota_reservations().Reserve(*job, job->remaining());
   }
   for (Job* job : waiting_) ReserveFor(now, job, pressed.at(job->team) == job);
   if (now >= limit_look_at_) {
@@ -116,7 +119,7 @@
       if (o.job == job && o.start_unsent) {
         const int task = o.ref.task;
         const uint64_t attempt = o.attempt;
-        it = occupancy().Erase(m.get(), it);
+        it = usage_accounting().Remove(m.get(), it);
         const TaskState& t = job->tasks[static_cast<size_t>(task)];
         if (t.stage == TaskStage::kPlaced && t.machine == m.get() && t.attempt == attempt) {
           job_table().TaskBack(now, job, task, {});
@@ -179,7 +182,7 @@
 // first.
 void Gangs::MakeLimitRoom(Micros now, const Job& gang) {
   // What the gang itself claims is not missing.
-  Resources missing = occupancy().LimitShort(gang, 0);
+  Resources missing = quota_checker().Shortfall(gang, 0);
   struct Choice {
     Micros lost;
     Machine* machine;
@@ -374,7 +377,7 @@
   for (int i = 0; i < job->spec.tasks; ++i) {
     if (job->tasks[static_cast<size_t>(i)].stage == TaskStage::kWaiting) members.push_back(i);
   }
-  if (members.empty() || !occupancy().LimitAllows(*job, static_cast<int>(members.size())))
+  if (members.empty() || !quota_checker().Allows(*job, static_cast<int>(members.size())))
     return false;
   if (job->gang_attempt != 0 && AwaitsClear(now, *job, members)) return false;
   struct Room {
@@ -389,7 +392,8 @@
       if (!machine_table().Ready(*m, now) || !Allows(job->spec, *m->type, m->zone, m->spot))
         continue;
       if (!only.empty() && m->zone != only) continue;
-      if (!occupancy().ZoneAllows(*job, m->zone) || (m->reserved_for && m->reserved_for != job))
+      if (!usage_accounting().ZoneAllows(*job, m->zone) ||
+          (m->reserved_for && m->reserved_for != job))
         continue;
       rooms.push_back({m.get(), dispatch().RoomFor(*m, *job, m->Used(), now)});
     }
@@ -413,9 +417,11 @@
       chosen.push_back(best->machine);
     }
     if (chosen.size() != members.size()) continue;
-    if (job->gang_attempt == 0) job->gang_attempt = occupancy().NextAttempt();
+    if (job->gang_attempt == 0) job->gang_attempt = usage_accounting().NextAttempt();
     for (size_t k = 0; k < members.size(); ++k) {
-      occupancy().Place(now, chosen[k], job, members[k], job->gang_attempt)->start_unsent = true;
+      usage_accounting()
+          .PlaceTask(now, chosen[k], job, members[k], job->gang_attempt)
+          ->start_unsent = true;
     }
     Release(job);
     asker()->Debug("gang " + job->spec.id + " placed on " + chosen[0]->id + " after " +
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -2,9 +2,10 @@
 
 #include "core/leader/gangs.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
 #include "core/leader/recorder.h"
 #include "core/leader/sharing.h"
+#include "core/leader/usage_accounting.h"
 #include "core/placement/autoscale.h"
 #include "core/placement/guardrails.h"
 
@@ -41,7 +42,7 @@
   if (jobs_.count(spec.id)) return;
   auto job = std::make_unique<Job>();
   job->spec = spec;
-  job->team = occupancy().TeamOf(spec.team);
+  job->team = quota_checker().TeamIndex(spec.team);
   job->version = stamp;
   const int64_t today_ms = began_ms() + (now - began()).ToMillis();
   job->submitted_at = now - Millis(std::clamp<int64_t>(today_ms - spec.submitted_ms, 0, 86400000));
@@ -105,7 +106,7 @@
 void JobTable::CloseJob(Micros now, Job* job) {
   for (auto& [id, m] : machine_table().machines()) {
     m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
-    occupancy().Disown(m.get(), job);
+    usage_accounting().DetachJob(m.get(), job);
     if (m->held_for == job) m->held_for = nullptr;
   }
   recorder().Over(now, *job);
@@ -125,7 +126,7 @@
     for (auto o = m->allocations.begin(); o != m->allocations.end();) {
       Allocation& occ = o->second;
       if (occ.ref.job == id && occ.start_unsent) {
-        o = occupancy().Erase(m.get(), o);
+        o = usage_accounting().Remove(m.get(), o);
         continue;
       }
       if (occ.ref.job == id && !occ.exited()) {
@@ -197,7 +198,7 @@
     const int team = static_cast<int>(i);
     const Team& said = settings().teams[i];
     if (said.guarantee.cpu == 0 && said.guarantee.gpu == 0) continue;
-    Resources room = occupancy().Guarantee(team);
+    Resources room = quota_checker().Guarantee(team);
     room.mem = INT64_MAX / 2;
     std::vector<Job*> jobs;
     for (auto& [id, job] : jobs_) {
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -26,7 +26,9 @@
       scaler_(*context_.options),
       fault_attribution_(&context_),
       job_table_(&context_),
-      occupancy_(&context_),
+      usage_accounting_(&context_),
+      quota_checker_(&context_),
+      quota_reservations_(&context_),
       machine_table_(&context_),
       dispatch_(&context_),
       gangs_(&context_),
@@ -41,7 +43,9 @@
   context_.scaler = &scaler_;
   context_.fault_attribution = &fault_attribution_;
   context_.job_table = &job_table_;
-  context_.occupancy = &occupancy_;
+  context_.usage_accounting = &usage_accounting_;
+  context_.quota_checker = &quota_checker_;
+  context_.quota_reservations = &quota_reservations_;
   context_.machine_table = &machine_table_;
   context_.dispatch = &dispatch_;
   context_.gangs = &gangs_;
@@ -167,7 +171,7 @@
   heartbeat_handler_.AnswerReady(now);
   recorder_.Write(now);
   provisioner_.Tick(now);
-  assert(CountFault().empty());
+  assert(VerifyCounts().empty());
 }
 
 }  // namespace badgershore
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -14,13 +14,15 @@
 #include "core/leader/heartbeat_handler.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
 #include "core/leader/part.h"
 #include "core/leader/provisioner.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/quota_reservations.h"
 #include "core/leader/recorder.h"
 #include "core/leader/rights.h"
 #include "core/leader/sharing.h"
 #include "core/leader/supervisor.h"
+#include "core/leader/usage_accounting.h"
 #include "core/placement/autoscale.h"
 
 namespace badgershore {
@@ -58,8 +60,8 @@
   std::string Explain(Micros now, const std::string& job) const {
     return supervisor_.Explain(now, job);
   }
-  // Where the counts kept as things change differ from a full count; empty: nowhere.
-  std::string CountFault() const { return occupancy_.Fault(); }
+  // The first difference between the counts and a full recount; empty: none.
+  std::string VerifyCounts() const { return usage_accounting_.VerifyCounts(); }
 
  private:
   void LoadPrefix(const std::string& prefix, const std::string& after);
@@ -87,7 +89,9 @@
   Autoscaler scaler_;
   FaultAttribution fault_attribution_;
   JobTable job_table_;
-  Occupancy occupancy_;
+  UsageAccounting usage_accounting_;
+  QuotaChecker quota_checker_;
+  QuotaReservations quota_reservations_;
   MachineTable machine_table_;
   Dispatch dispatch_;
   Gangs gangs_;
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -6,9 +6,9 @@
 #include "core/leader/gangs.h"
 #include "core/leader/heartbeat_handler.h"
 #include "core/leader/job_table.h"
-#include "core/leader/occupancy.h"
 #include "core/leader/provisioner.h"
 #include "core/leader/recorder.h"
+#include "core/leader/usage_accounting.h"
 #include "core/placement/guardrails.h"
 
 namespace badgershore {
@@ -32,7 +32,7 @@
   m->agent_lease_until = now + (settings().cancel_deadline - settings().agent_lease) +
                          settings().agent_lease.Scaled(1 + kClockDrift);
   unresolved_.push_back(m);
-  occupancy().Review(m);
+  usage_accounting().RefreshUncertainUse(m);
 }
 
 bool MachineTable::Held(const Job& job) const {
@@ -78,7 +78,7 @@
 void MachineTable::Resolve(Micros now, Machine* m) {
   if (m->reconciled) return;
   m->reconciled = true;
-  occupancy().Review(m);
+  usage_accounting().RefreshUncertainUse(m);
   unresolved_.erase(std::remove(unresolved_.begin(), unresolved_.end(), m), unresolved_.end());
   asker()->Debug("machine " + m->id + " resolved");
   if (unresolved_.empty()) {
@@ -99,7 +99,7 @@
 
 void MachineTable::DropAll(Micros now, Machine* m) {
   for (auto& [key, o] : m->allocations) Gone(now, m, &o);
-  occupancy().Clear(m);
+  usage_accounting().RemoveAll(m);
 }
 
 void MachineTable::Remove(Micros now, const std::string& id) {
@@ -191,7 +191,7 @@
     for (auto it = m->allocations.begin(); it != m->allocations.end();) {
       if (!it->second.start_unsent) {
         Gone(now, m, &it->second);
-        it = occupancy().Erase(m, it);
+        it = usage_accounting().Remove(m, it);
       } else {
         ++it;
       }
@@ -235,7 +235,7 @@
     if (job && (t.ref.task < 0 || t.ref.task >= job->spec.tasks)) job = nullptr;
     auto it = m->allocations.find(key);
     if (it == m->allocations.end()) {
-      occupancy().Enter(m, t.ref, t.attempt, job);
+      usage_accounting().AddAllocation(m, t.ref, t.attempt, job);
       it = m->allocations.find(key);
       Allocation& o = it->second;
       if (job) {
@@ -277,7 +277,7 @@
         o.job->has_run = true;
       }
     }
-    occupancy().Became(&o, t.phase);
+    usage_accounting().SetPhase(&o, t.phase);
   }
   for (auto it = m->allocations.begin(); it != m->allocations.end();) {
     Allocation& o = it->second;
@@ -291,7 +291,7 @@
       continue;
     }
     Gone(now, m, &o);
-    it = occupancy().Erase(m, it);
+    it = usage_accounting().Remove(m, it);
   }
   if (m->GangUse().cpu > 0) m->last_gang_at = now;
   const bool idle = m->allocations.empty() && m->queue.empty();
@@ -304,7 +304,7 @@
 }
 
 void MachineTable::Exited(Micros now, Machine* m, Allocation* o, ExitReason cause) {
-  occupancy().Exited(m, o, cause);
+  usage_accounting().MarkExited(m, o, cause);
   Job* job = o->job;
   if (!job) return;
   TaskState& t = job->tasks[static_cast<size_t>(o->ref.task)];
@@ -378,7 +378,7 @@
       auto it = types().find(m->type_name);
       if (it != types().end()) {
         m->type = &it->second;
-        occupancy().Review(m.get());
+        usage_accounting().RefreshUncertainUse(m.get());
       }
     }
     if (m->stage != MachineStage::kUp) continue;
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -21,13 +21,15 @@
 class HeartbeatHandler;
 class Dispatch;
 class Gangs;
-class Occupancy;
 class Recorder;
 class Provisioner;
+class QuotaChecker;
+class QuotaReservations;
 class Rights;
 class MachineTable;
 class Sharing;
 class Supervisor;
+class UsageAccounting;
 
 struct LeaderContext {
   Asker* asker = nullptr;
@@ -48,13 +50,15 @@
   HeartbeatHandler* heartbeat_handler = nullptr;
   Dispatch* dispatch = nullptr;
   Gangs* gangs = nullptr;
-  Occupancy* occupancy = nullptr;
   Recorder* recorder = nullptr;
   Provisioner* provisioner = nullptr;
+  QuotaChecker* quota_checker = nullptr;
+  QuotaReservations* quota_reservations = nullptr;
   Rights* rights = nullptr;
   MachineTable* machine_table = nullptr;
   Sharing* sharing = nullptr;
   Supervisor* supervisor = nullptr;
+  UsageAccounting* usage_accounting = nullptr;
 };
 
 class Part {
@@ -80,13 +84,15 @@
   HeartbeatHandler& heartbeat_handler() const { return *context_->heartbeat_handler; }
   Dispatch& dispatch() const { return *context_->dispatch; }
   Gangs& gangs() const { return *context_->gangs; }
-  Occupancy& occupancy() const { return *context_->occupancy; }
   Recorder& recorder() const { return *context_->recorder; }
   Provisioner& provisioner() const { return *context_->provisioner; }
+  QuotaChecker& quota_checker() const { return *context_->quota_checker; }
+  QuotaReservations& quota_reservations() const { return *context_->quota_reservations; }
   Rights& rights() const { return *context_->rights; }
   MachineTable& machine_table() const { return *context_->machine_table; }
   Sharing& sharing() const { return *context_->sharing; }
   Supervisor& supervisor() const { return *context_->supervisor; }
+  UsageAccounting& usage_accounting() const { return *context_->usage_accounting; }
 
   // Wraps a continuation so that it does nothing after the term.
   template <typename F>
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -4,7 +4,7 @@
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
 #include "core/leader/recorder.h"
 #include "core/leader/rights.h"
 
@@ -176,7 +176,7 @@
   view.zones = &settings().zones;
   view.objectives = &settings().objectives;
   view.limit = [this](int team) {
-    const int64_t cpu = occupancy().Limit(team).cpu;
+    const int64_t cpu = quota_checker().Limit(team).cpu;
     return cpu < limits::kUnlimited ? cpu : INT64_MAX;
   };
   int64_t all_limits = 0;
@@ -185,8 +185,10 @@
     all_limits = limit < INT64_MAX ? all_limits + limit : INT64_MAX;
   }
   view.all_limits = all_limits;
-  view.gang_room = [this](int team, Priority rank) { return occupancy().FirmRoom(team, rank); };
-  view.team_of = [this](const std::string& name) { return occupancy().TeamOf(name); };
+  view.gang_room = [this](int team, Priority rank) {
+    return quota_checker().RoomForGangs(team, rank);
+  };
+  view.team_of = [this](const std::string& name) { return quota_checker().TeamIndex(name); };
   for (auto& [id, m] : machine_table().machines()) view.machines.push_back(m.get());
   for (auto& [id, job] : job_table().jobs()) view.jobs.push_back(job.get());
   for (auto& [name, p] : pending_) {
@@ -222,7 +224,7 @@
     }
     asker()->Debug("machines up " + std::to_string(up) + " booting " + std::to_string(booting) +
                    " jobs " + std::to_string(job_table().jobs().size()) + "; " +
-                   scaler().Summary() + occupancy().Summary() + rights().Summary());
+                   scaler().Summary() + quota_checker().Summary() + rights().Summary());
   }
 }
 
--- /dev/null
+++ b/src/core/leader/quota_checker.h
@@ -0,0 +1,57 @@
+// Checks of teams' resource quotas.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+// Knows each team's limit and guarantee and tells whether more tasks of a job fit within the
+// limit. Uncertain use counts as used by every team, so that a limit holds during failovers too.
+class QuotaChecker : public Part {
+ public:
+  explicit QuotaChecker(const LeaderContext* context);
+
+  // The team's index in the settings; -1: none of this name.
+  int TeamIndex(const std::string& name) const;
+
+  // Replaces the team's quota: the settings' values, or this cell's share of them.
+  // limits::kUnlimited: no limit.
+  void SetQuota(int team, const Resources& limit, const Resources& guarantee);
+  const Resources& Limit(int team) const { return quotas_[Slot(team)].limit; }
+  const Resources& Guarantee(int team) const { return quotas_[Slot(team)].guarantee; }
+  bool IsLimited(int team) const {
+    return team >= 0 &&
+           (Limit(team).cpu < limits::kUnlimited || Limit(team).gpu < limits::kUnlimited);
+  }
+
+  // The team stays within its limit with `tasks` more tasks of the job, whatever the uncertain
+  // machines run, and leaves free what is reserved for gangs that go before the job.
+  bool Allows(const Job& job, int tasks) const;
+  // What Allows() is short of; zero if it holds or the team has no limit.
+  Resources Shortfall(const Job& job, int tasks) const;
+  // Allows() would hold after preempting all of the team's preemptible tasks of lower priority.
+  bool AllowsAfterPreemption(const Job& job, int tasks) const;
+  // The CPU, in millicores, that the team's gangs of this priority may still take within the
+  // limit, by preemption if need be. INT64_MAX: no limit.
+  int64_t RoomForGangs(int team, Priority priority) const;
+
+  // Use, limits and reservations of the limited teams, for the log.
+  std::string Summary() const;
+
+ private:
+  struct Quota {
+    Resources limit, guarantee;
+  };
+  // Teams are numbered from -1, which is an unknown team.
+  static size_t Slot(int team) { return static_cast<size_t>(team + 1); }
+  Resources UseWith(const Job& job, int tasks) const;
+
+  std::vector<Quota> quotas_;  // by Slot()
+};
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/quota_reservations.cpp
@@ -0,0 +1,43 @@
+#include "core/leader/quota_reservations.h"
+
+#include "core/leader/quota_checker.h"
+
+namespace badgershore {
+
+QuotaReservations::QuotaReservations(const LeaderContext* context)
+    : Part(context), teams_(settings().teams.size() + 1) {}
+
+void QuotaReservations::Reserve(const Job& gang, int members) {
+  if (!quota_checker().IsLimited(gang.team)) return;
+  TeamReservations& team = teams_[Slot(gang.team)];
+  const auto priority = static_cast<size_t>(gang.spec.priority);
+  const Resources need = gang.spec.need.Times(members);
+  if (team.total[priority] == Resources{}) team.first[priority] = need;
+  team.total[priority] = team.total[priority] + need;
+}
+
+void QuotaReservations::Clear() {
+  for (TeamReservations& team : teams_) team.total = team.first = {};
+}
+
+Resources QuotaReservations::Reserved(int team) const {
+  Resources reserved;
+  for (const Resources& total : teams_[Slot(team)].total) reserved = reserved + total;
+  return reserved;
+}
+
+Resources QuotaReservations::ReservedBefore(const Job& job) const {
+  const TeamReservations& team = teams_[Slot(job.team)];
+  const auto own = static_cast<size_t>(job.spec.priority);
+  Resources reserved;
+  // A starved job may use what gangs of higher priority can't use yet, or it would lie idle. Its
+  // tasks are preempted when the gang can start.
+  for (size_t higher = 0; higher < own && !job.starved; ++higher) {
+    reserved = reserved + team.total[higher];
+  }
+  // An array waits for one gang of its own priority only: an endless supply of gangs must not
+  // starve it.
+  return reserved + (job.IsGang() ? team.total : team.first)[own];
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/quota_reservations.h
@@ -0,0 +1,41 @@
+// Reservations of teams' quota for gangs that wait for it.
+#pragma once
+
+#include <array>
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/leader/usage_accounting.h"
+#include "core/model/fleet.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+// While a gang waits for its team's limit, other work of no higher priority leaves its reservation
+// free: smaller tasks would otherwise take each bit of quota that becomes free. The reservations
+// are made anew in each tick.
+class QuotaReservations : public Part {
+ public:
+  explicit QuotaReservations(const LeaderContext* context);
+
+  // Reserves quota for so many members of the gang; no effect if its team has no limit.
+  void Reserve(const Job& gang, int members);
+  // Drops all reservations.
+  void Clear();
+  // All that is reserved in the team.
+  Resources Reserved(int team) const;
+  // What is reserved in the job's team and has to be left free by the job.
+  Resources ReservedBefore(const Job& job) const;
+
+ private:
+  struct TeamReservations {
+    std::array<Resources, kPriorityCount> total;  // by the gangs' priority
+    std::array<Resources, kPriorityCount> first;  // the first reservation of each priority
+  };
+  // Teams are numbered from -1, which is an unknown team.
+  static size_t Slot(int team) { return static_cast<size_t>(team + 1); }
+
+  std::vector<TeamReservations> teams_;  // by Slot()
+};
+
+}  // namespace badgershore
--- a/src/core/leader/rights.cpp
+++ b/src/core/leader/rights.cpp
@@ -3,7 +3,8 @@
 #include <algorithm>
 
 #include "core/leader/job_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/usage_accounting.h"
 
 namespace badgershore {
 namespace {
@@ -96,12 +97,13 @@
                           std::tie(gangs[t]->spec.priority, gangs[t]->spec.submitted_ms))) {
       gangs[t] = job.get();
     }
-    if (occupancy().LimitAllows(*job, whole ? open : 1)) allowed[t] = job.get();
+    if (quota_checker().Allows(*job, whole ? open : 1)) allowed[t] = job.get();
   }
   for (size_t t = 0; t < teams; ++t) {
     const Team& team = settings().teams[t];
     limits::Need& need = needs[t];
-    const Resources used = occupancy().Used(static_cast<int>(t)) + occupancy().doubt();
+    const Resources used =
+        usage_accounting().Used(static_cast<int>(t)) + usage_accounting().uncertain_use();
     need.used = {used.cpu, used.gpu, 0, 0};
     // Where rights are there and work waits all the same, more rights would lie idle.
     waits_[t].since = allowed[t] ? std::min(waits_[t].since, now) : kNever;
@@ -129,8 +131,9 @@
   for (size_t t = 0; t < settings().teams.size(); ++t) {
     const std::string& name = settings().teams[t].name;
     const auto may = [&](limits::Kind kind) { return escrow_->Usable(name, kind); };
-    occupancy().SetRights(static_cast<int>(t), {may(limits::kLimitCpu), may(limits::kLimitGpu), 0},
-                          {may(limits::kGuaranteeCpu), may(limits::kGuaranteeGpu), 0});
+    quota_checker().SetQuota(static_cast<int>(t),
+                             {may(limits::kLimitCpu), may(limits::kLimitGpu), 0},
+                             {may(limits::kGuaranteeCpu), may(limits::kGuaranteeGpu), 0});
   }
 }
 
--- a/src/core/leader/sharing.cpp
+++ b/src/core/leader/sharing.cpp
@@ -5,7 +5,8 @@
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/usage_accounting.h"
 
 namespace badgershore {
 namespace {
@@ -36,8 +37,9 @@
 
 bool Sharing::Beyond(int team, const Resources& what) const {
   if (team < 0) return false;
-  const Resources left = occupancy().Used(team) - stopping_[static_cast<size_t>(team)] - what;
-  const Resources& own = occupancy().Guarantee(team);
+  const Resources left =
+      usage_accounting().Used(team) - stopping_[static_cast<size_t>(team)] - what;
+  const Resources& own = quota_checker().Guarantee(team);
   return left.cpu >= own.cpu && left.gpu >= own.gpu;
 }
 
@@ -85,7 +87,7 @@
   for (const auto& [id, job] : job_table().jobs()) {
     const int open = job->WantedTasks() - job->placed;
     if (open <= 0 || job->finishing || job->team < 0) continue;
-    if (!occupancy().LimitAllows(*job, 1)) continue;  // it waits for its own team
+    if (!quota_checker().Allows(*job, 1)) continue;  // it waits for its own team
     shares_[static_cast<size_t>(job->team)].wants = true;
     wanted = wanted + job->spec.need.Times(open);
   }
@@ -93,7 +95,7 @@
   double sum = 0;
   int active = 0;
   for (size_t i = 0; i < shares_.size(); ++i) {
-    const Resources& used = occupancy().Used(static_cast<int>(i));
+    const Resources& used = usage_accounting().Used(static_cast<int>(i));
     shares_[i].dominant =
         std::max({Part_(used.cpu, all.cpu), Part_(used.gpu, all.gpu), Part_(used.mem, all.mem)});
     sum += shares_[i].dominant;
@@ -160,7 +162,8 @@
   std::vector<Freed> places;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().Ready(*m, now) || m->held_for || m->reserved_for) continue;
-    if (!Allows(job.spec, *m->type, m->zone, m->spot) || !occupancy().ZoneAllows(job, m->zone)) {
+    if (!Allows(job.spec, *m->type, m->zone, m->spot) ||
+        !usage_accounting().ZoneAllows(job, m->zone)) {
       continue;
     }
     Freed place;
@@ -179,7 +182,7 @@
   for (const auto& [id, m] : machine_table().machines()) {
     if (m->held_for == job) missing -= m->held_tasks;
   }
-  if (missing <= 0 || machine_table().Held(*job) || !occupancy().LimitAllows(*job, 1)) return;
+  if (missing <= 0 || machine_table().Held(*job) || !quota_checker().Allows(*job, 1)) return;
   auto& [stopped, since] = stopped_[static_cast<size_t>(job->team)];
   if (now - since >= kStopWindow) {
     stopped = 0;
@@ -187,7 +190,7 @@
   }
   const int64_t most =
       std::max(job->spec.need.cpu,
-               static_cast<int64_t>(static_cast<double>(occupancy().Guarantee(job->team).cpu) *
+               static_cast<int64_t>(static_cast<double>(quota_checker().Guarantee(job->team).cpu) *
                                     options().reclaim_share));
   int tasks = 0, told = 0;
   for (const Freed& place : PlacesFor(now, *job, missing)) {
--- a/src/core/leader/supervisor.cpp
+++ b/src/core/leader/supervisor.cpp
@@ -4,7 +4,8 @@
 #include "core/leader/gangs.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/usage_accounting.h"
 
 namespace badgershore {
 namespace {
@@ -24,7 +25,7 @@
            " machines unresolved";
   if (!election()->MayStart(now)) return "the lease does not hold";
   if (!authority().MayStart(now)) return "what was cancelled of late is not known";
-  if (!occupancy().LimitAllows(job, job.IsGang() ? job.remaining() - job.placed : 1))
+  if (!quota_checker().Allows(job, job.IsGang() ? job.remaining() - job.placed : 1))
     return "its team's limit";
   if (job.IsGang() && job.gang_stopping) return "its last attempt is being stopped";
   if (now < job.backoff_until) return "a pause after failures";
@@ -35,7 +36,7 @@
   int able = 0, ready = 0, room = 0, unrecorded = 0;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!m->type || !Allows(job.spec, *m->type, m->zone, m->spot) ||
-        !occupancy().ZoneAllows(job, m->zone)) {
+        !usage_accounting().ZoneAllows(job, m->zone)) {
       continue;
     }
     ++able;
--- /dev/null
+++ b/src/core/leader/usage_accounting.cpp
@@ -0,0 +1,213 @@
+#include "core/leader/usage_accounting.h"
+
+#include "core/leader/job_table.h"
+#include "core/leader/machine_table.h"
+
+namespace badgershore {
+
+UsageAccounting::UsageAccounting(const LeaderContext* context)
+    : Part(context), teams_(settings().teams.size() + 1) {}
+
+Allocation* UsageAccounting::PlaceTask(Micros now, Machine* machine, Job* job, int task,
+                                       uint64_t attempt) {
+  TaskState& state = job->tasks[static_cast<size_t>(task)];
+  state.stage = TaskStage::kPlaced;
+  state.machine = machine;
+  state.bound_at = now;
+  state.attempt = attempt;
+  if (!job->IsGang()) job->progressed_at = now;
+  Allocation* allocation = AddAllocation(machine, {job->spec.id, task}, attempt, job);
+  allocation->sent_epoch = machine->agent_epoch;
+  allocation->sent_sequence = machine->sequence;
+  machine->RecordImageUse(job->spec.image);
+  machine->idle_since = {-1};
+  if (job->IsGang()) machine->last_gang_at = now;
+  return allocation;
+}
+
+Allocation* UsageAccounting::AddAllocation(Machine* machine, const TaskRef& ref, uint64_t attempt,
+                                           Job* job) {
+  auto [it, inserted] = machine->allocations.try_emplace({ref, attempt});
+  Allocation& allocation = it->second;
+  if (!inserted) {
+    SubtractUse(machine, &allocation);
+    allocation = Allocation{};
+  }
+  allocation.ref = ref;
+  allocation.attempt = attempt;
+  allocation.job = job;
+  if (job) {
+    allocation.need = job->spec.need;
+    allocation.team = job->team;
+    ++job->placed;
+    ++job->zone_count[machine->zone];
+  }
+  if (job && !job->IsGang() && !job->IsService()) {
+    allocation.preemptible_priority = static_cast<int>(job->spec.priority);
+  }
+  AddUse(machine, &allocation);
+  return &allocation;
+}
+
+void UsageAccounting::AddUse(Machine* machine, Allocation* allocation) {
+  allocation->counted = true;
+  const Resources& need = allocation->need;
+  machine->used = machine->used + need;
+  TeamUse& team = teams_[Slot(allocation->team)];
+  team.used = team.used + need;
+  if (allocation->preemptible_priority >= 0) {
+    Resources& preemptible =
+        team.preemptible[static_cast<size_t>(allocation->preemptible_priority)];
+    preemptible = preemptible + need;
+  }
+  machine->unknown_tasks += allocation->team < 0;
+  RefreshUncertainUse(machine);
+}
+
+void UsageAccounting::SubtractUse(Machine* machine, Allocation* allocation) {
+  if (!std::exchange(allocation->counted, false)) return;
+  const Resources& need = allocation->need;
+  machine->used = machine->used - need;
+  TeamUse& team = teams_[Slot(allocation->team)];
+  team.used = team.used - need;
+  if (allocation->preemptible_priority >= 0) {
+    Resources& preemptible =
+        team.preemptible[static_cast<size_t>(allocation->preemptible_priority)];
+    preemptible = preemptible - need;
+  }
+  machine->unknown_tasks -= allocation->team < 0;
+  RefreshUncertainUse(machine);
+}
+
+void UsageAccounting::RefreshUncertainUse(Machine* machine) {
+  const bool uncertain = !machine->reconciled || machine->unknown_tasks > 0;
+  const bool unbounded = uncertain && !machine->type;
+  const Resources uncertain_use =
+      uncertain && machine->type ? machine->type->size - machine->used : Resources{};
+  uncertain_use_ = uncertain_use_ - machine->uncertain_use + uncertain_use;
+  machine->uncertain_use = uncertain_use;
+  unbounded_machines_ +=
+      static_cast<int>(unbounded) - static_cast<int>(machine->uncertain_use_unbounded);
+  machine->uncertain_use_unbounded = unbounded;
+}
+
+void UsageAccounting::ReleaseFromJob(Allocation* allocation, const Machine& machine) {
+  if (!allocation->job || allocation->exited()) return;
+  Job* job = allocation->job;
+  --job->placed;
+  --job->zone_count[machine.zone];
+  if (allocation->phase == TaskPhase::kRunning) --job->running;
+}
+
+void UsageAccounting::SetPhase(Allocation* allocation, TaskPhase phase) {
+  if (allocation->job) {
+    const bool was_running = allocation->phase == TaskPhase::kRunning;
+    const bool is_running = phase == TaskPhase::kRunning;
+    if (is_running && !was_running) ++allocation->job->running;
+    if (!is_running && was_running) --allocation->job->running;
+  }
+  allocation->phase = phase;
+}
+
+void UsageAccounting::MarkExited(Machine* machine, Allocation* allocation, ExitReason reason) {
+  ReleaseFromJob(allocation, *machine);
+  SubtractUse(machine, allocation);
+  allocation->phase = TaskPhase::kExited;
+  allocation->exit_reason = reason;
+}
+
+UsageAccounting::Allocations::iterator UsageAccounting::Remove(Machine* machine,
+                                                               Allocations::iterator it) {
+  ReleaseFromJob(&it->second, *machine);
+  SubtractUse(machine, &it->second);
+  return machine->allocations.erase(it);
+}
+
+void UsageAccounting::RemoveAll(Machine* machine) {
+  for (auto it = machine->allocations.begin(); it != machine->allocations.end();) {
+    it = Remove(machine, it);
+  }
+}
+
+void UsageAccounting::DetachJob(Machine* machine, const Job* job) {
+  for (auto& [key, allocation] : machine->allocations) {
+    if (allocation.job == job) allocation.job = nullptr;
+  }
+}
+
+bool UsageAccounting::ZoneAllows(const Job& job, const std::string& zone) const {
+  if (job.spec.same_zone) {
+    for (const auto& [other_zone, tasks] : job.zone_count) {
+      if (tasks > 0 && other_zone != zone) return false;
+    }
+  }
+  if (job.spec.spread) {
+    auto it = job.zone_count.find(zone);
+    if (it != job.zone_count.end() && it->second >= (job.spec.tasks + 1) / 2) return false;
+  }
+  return true;
+}
+
+std::string UsageAccounting::VerifyCounts() const {
+  Recount recount;
+  recount.teams.resize(teams_.size());
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!RecountMachine(*machine, &recount)) return "use of machine " + id;
+  }
+  if (!(recount.uncertain_use == uncertain_use_)) return "uncertain use of all machines";
+  std::string difference = VerifyTeams(recount);
+  return difference.empty() ? VerifyJobs(&recount) : difference;
+}
+
+// Adds the machine to the recount. False: the machine's own counts differ.
+bool UsageAccounting::RecountMachine(const Machine& machine, Recount* recount) {
+  Resources used;
+  int unknown_tasks = 0;
+  for (const auto& [key, allocation] : machine.allocations) {
+    if (allocation.exited()) continue;
+    used = used + allocation.need;
+    unknown_tasks += allocation.team < 0;
+    TeamUse& team = recount->teams[Slot(allocation.team)];
+    team.used = team.used + allocation.need;
+    if (allocation.preemptible_priority >= 0) {
+      Resources& preemptible =
+          team.preemptible[static_cast<size_t>(allocation.preemptible_priority)];
+      preemptible = preemptible + allocation.need;
+    }
+    if (!allocation.job) continue;
+    JobTasks& tasks = recount->jobs[allocation.job];
+    ++tasks.placed;
+    tasks.running += allocation.phase == TaskPhase::kRunning;
+    ++tasks.by_zone[machine.zone];
+  }
+  if (machine.type && (!machine.reconciled || unknown_tasks > 0)) {
+    recount->uncertain_use = recount->uncertain_use + (machine.type->size - used);
+  }
+  return used == machine.used && unknown_tasks == machine.unknown_tasks;
+}
+
+std::string UsageAccounting::VerifyTeams(const Recount& recount) const {
+  for (size_t i = 0; i < teams_.size(); ++i) {
+    const TeamUse& counted = recount.teams[i];
+    if (counted.used == teams_[i].used && counted.preemptible == teams_[i].preemptible) continue;
+    return "use of " + (i == 0 ? std::string("no team") : "team " + settings().teams[i - 1].name) +
+           ": " + std::to_string(teams_[i].used.cpu) + " kept, " +
+           std::to_string(counted.used.cpu) + " counted (millicores)";
+  }
+  return "";
+}
+
+std::string UsageAccounting::VerifyJobs(Recount* recount) const {
+  for (const auto& [id, job] : job_table().jobs()) {
+    const JobTasks& counted = recount->jobs[job.get()];
+    bool same = counted.placed == job->placed && counted.running == job->running;
+    for (const auto& [zone, tasks] : job->zone_count) {
+      auto it = counted.by_zone.find(zone);
+      same = same && tasks == (it == counted.by_zone.end() ? 0 : it->second);
+    }
+    if (!same) return "tasks of job " + id;
+  }
+  return "";
+}
+
+}  // namespace badgershore
--- a/src/core/model/fleet.h
+++ b/src/core/model/fleet.h
@@ -28,7 +28,7 @@
   uint64_t sent_epoch = 0, sent_sequence = 0;  // of the report whose answer carried the start
   bool stop_requested = false;
   Micros grace_period;
-  bool counted = false;           // in the occupancy
+  bool counted = false;           // in the usage accounting
   int preemptible_priority = -1;  // its rank, where a gang of higher rank may stop it
   bool exited() const { return phase == TaskPhase::kExited; }
 };
@@ -108,7 +108,7 @@
   Micros failing_since;
   std::deque<std::string> images;  // most recent last
 
-  // The occupancy keeps these: what has not exited, how many of jobs that are not known, and what
+  // Kept by UsageAccounting: what has not exited, how many of jobs that are not known, and what
   // else may be on it.
   Resources used;
   int unknown_tasks = 0;
--- a/src/rehearsal/nodes.cpp
+++ b/src/rehearsal/nodes.cpp
@@ -60,7 +60,7 @@
   }
   n.core->Tick(now_, now_.ToMillis());
   if (const badgershore::Leader* leader = n.core->leader()) {
-    const std::string fault = leader->CountFault();
+    const std::string fault = leader->VerifyCounts();
     if (!fault.empty()) stage_->result.broken.push_back({"count", now_.ToSeconds(), fault});
   }
   PumpNode(index);
