--- a/src/core/frontend/controller.cpp
+++ b/src/core/frontend/controller.cpp
@@ -223,7 +223,7 @@
   WatchPeers(now);
   election_->Tick(now);
   if (leader_) leader_->Tick(now);
-  if (leader_ && leader_->Deaf(now)) GiveWay(now);
+  if (leader_ && leader_->ReceivesNoHeartbeats(now)) GiveWay(now);
   if (!looking_ && now >= look_at_ && now - state_ok_at_ > Millis(900)) {
     looking_ = true;
     look_at_ = now + Millis(900);
--- /dev/null
+++ b/src/core/leader/agent_client.cpp
@@ -0,0 +1,80 @@
+#include "core/leader/agent_client.h"
+
+#include "core/leader/heartbeat_processor.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/reconciler.h"
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kProbeInterval = Seconds(1);
+
+}  // namespace
+
+CommandRequest AgentClient::RequestTo(const Machine& machine) const {
+  CommandRequest request;
+  request.machine = machine.id;
+  request.endpoint = machine.endpoint;
+  request.fencing_token = election()->term();
+  request.agent_epoch = machine.agent_epoch;
+  return request;
+}
+
+void AgentClient::AppendStops(const Machine& machine, std::vector<Command>* commands) {
+  for (const auto& [key, allocation] : machine.allocations) {
+    if (allocation.stop_requested && !allocation.exited() && !allocation.start_unsent) {
+      commands->push_back(
+          {Command::Verb::kStop, allocation.ref, allocation.attempt, allocation.grace_period});
+    }
+  }
+}
+
+void AgentClient::SendStops(Machine* machine) {
+  if (machine->endpoint.empty() || machine->agent_epoch == 0) return;
+  CommandRequest request = RequestTo(*machine);
+  AppendStops(*machine, &request.commands);
+  if (request.commands.empty()) return;
+  asker()->Direct(request, Guarded([this, id = machine->id](Micros now, CommandResponse& response) {
+                    Machine* answered = machine_table().Find(id);
+                    if (!answered || !response.heartbeat || response.status != 200) return;
+                    heartbeat_processor().Process(now, answered, *response.heartbeat,
+                                                  HeartbeatSource::kDirectCall);
+                  }));
+}
+
+void AgentClient::Probe(Micros now, Machine* machine) {
+  if (machine->probe_in_flight || machine->endpoint.empty()) return;
+  machine->probe_in_flight = true;
+  if (machine->first_probed_at.count < 0) machine->first_probed_at = now;
+  machine->probe_at = now + kProbeInterval;
+  CommandRequest request = RequestTo(*machine);
+  request.agent_epoch = std::max<uint64_t>(machine->agent_epoch, 1);
+  asker()->Direct(request, Guarded([this, id = machine->id, probed_epoch = request.agent_epoch](
+                                       Micros t, CommandResponse& response) {
+                    OnProbeAnswer(t, id, probed_epoch, response);
+                  }));
+}
+
+void AgentClient::OnProbeAnswer(Micros now, const std::string& id, uint64_t probed_epoch,
+                                const CommandResponse& response) {
+  Machine* machine = machine_table().Find(id);
+  if (!machine) return;
+  machine->probe_in_flight = false;
+  if (!response.heartbeat || response.heartbeat->machine != id) return;
+  const Heartbeat& heartbeat = *response.heartbeat;
+  if (heartbeat.fencing_token > election()->term()) {
+    return election()->StepDown(now, "machine " + id + " has seen a higher fencing token");
+  }
+  const bool accepted = response.status == 200;
+  const bool epoch_was_known = heartbeat.agent_epoch == probed_epoch;
+  if (accepted || !epoch_was_known) {
+    heartbeat_processor().Process(now, machine, heartbeat, HeartbeatSource::kDirectCall);
+  }
+  if (accepted) {
+    reconciler().MarkReconciled(now, machine);
+  } else if (!epoch_was_known && !machine->reconciled) {
+    Probe(now, machine);  // the epoch is known now
+  }
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/agent_client.h
@@ -0,0 +1,39 @@
+// Direct calls from the leader to agents.
+#pragma once
+
+#include <string>
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+
+namespace badgershore {
+
+// Calls agents without waiting for their next heartbeat: to stop tasks and to probe whether they
+// are alive. Tasks are never started this way.
+class AgentClient : public Part {
+ public:
+  using Part::Part;
+
+  // Probes that may begin in one tick. Hundreds at once after a failover can keep a slow leader
+  // busy for longer than its lease.
+  static constexpr int kMaxProbesPerTick = 60;
+
+  // A probe of the machine is due and may begin now.
+  static bool CanProbe(Micros now, const Machine& machine) {
+    return now >= machine.probe_at && !machine.probe_in_flight && !machine.endpoint.empty();
+  }
+  // Raises the fencing token at the agent and reads its state. Success reconciles the machine.
+  void Probe(Micros now, Machine* machine);
+  // Appends the machine's requested stops.
+  static void AppendStops(const Machine& machine, std::vector<Command>* commands);
+  // Sends the machine's requested stops, if there are any.
+  void SendStops(Machine* machine);
+
+ private:
+  CommandRequest RequestTo(const Machine& machine) const;
+  void OnProbeAnswer(Micros now, const std::string& id, uint64_t probed_epoch,
+                     const CommandResponse& response);
+};
+
+}  // namespace badgershore
--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -5,6 +5,7 @@
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/quota_checker.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/sharing.h"
 #include "core/leader/usage_accounting.h"
 #include "core/placement/autoscale.h"
@@ -68,7 +69,7 @@
   for (auto& [id, ptr] : job_table().jobs()) {
     Job* job = ptr.get();
     if (job->IsGang() || job->queued == 0 || !job->IsUnstarted(now, options().age_limit)) continue;
-    if (!quota_checker().Allows(*job, 1) || machine_table().Held(*job)) continue;
+    if (!quota_checker().Allows(*job, 1) || reconciler().MayStillRun(*job)) continue;
     Job*& first = oldest[job->team];
     if (!first || job->submitted_at < first->submitted_at) first = job;
   }
@@ -79,7 +80,7 @@
         best = m.get();
         break;
       }
-      if (!machine_table().Ready(*m, now) || m->reserved_for ||
+      if (!machine_table().IsReady(*m, now) || m->reserved_for ||
           (m->held_for && now < m->held_until) || !Allows(job->spec, *m->type, m->zone, m->spot) ||
           !usage_accounting().ZoneAllows(*job, m->zone) ||
           !job->spec.need.Fits(m->type->size - m->GangUse())) {
@@ -124,7 +125,7 @@
         (before == 0 && (claim > best_claim || (claim > 0 && claim == best_claim &&
                                                 job->submitted_at < best->job->submitted_at)));
     if (!better || !quota_checker().Allows(*job, 1)) continue;
-    if (!job->spec.need.Fits(RoomFor(*m, *job, *used, now)) || machine_table().Held(*job) ||
+    if (!job->spec.need.Fits(RoomFor(*m, *job, *used, now)) || reconciler().MayStillRun(*job) ||
         !usage_accounting().ZoneAllows(*job, m->zone)) {
       continue;
     }
@@ -155,7 +156,7 @@
 
 bool Dispatch::FitsHere(Micros now, const Job& job, const Machine& m, const Resources& used) const {
   return Allows(job.spec, *m.type, m.zone, m.spot) && !Shuns(now, job, m) &&
-         job.spec.need.Fits(RoomFor(m, job, used, now)) && !machine_table().Held(job) &&
+         job.spec.need.Fits(RoomFor(m, job, used, now)) && !reconciler().MayStillRun(job) &&
          usage_accounting().ZoneAllows(job, m.zone);
 }
 
@@ -262,14 +263,14 @@
       job->delayed.erase(job->delayed.begin());
     }
     if (job->IsGang() || job->waiting.empty() || job->queued >= options().bind_window ||
-        !quota_checker().Allows(*job, 1) || machine_table().Held(*job) ||
+        !quota_checker().Allows(*job, 1) || reconciler().MayStillRun(*job) ||
         fault_attribution().StartsAllowed(now, *job) == 0) {
       continue;
     }
     if (!std::exchange(looked, true)) {
       bind_budget_ -= static_cast<double>(machine_table().machines().size());
       for (auto& [mid, m] : machine_table().machines()) {
-        if (machine_table().Ready(*m, now)) ready.push_back({m.get(), m->GangUse()});
+        if (machine_table().IsReady(*m, now)) ready.push_back({m.get(), m->GangUse()});
       }
     }
     std::vector<Able> able;
--- /dev/null
+++ b/src/core/leader/failure_detector.cpp
@@ -0,0 +1,185 @@
+#include "core/leader/failure_detector.h"
+
+#include <algorithm>
+
+#include "core/leader/agent_client.h"
+#include "core/leader/gangs.h"
+#include "core/leader/heartbeat_handler.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/reconciler.h"
+
+namespace badgershore {
+namespace {
+
+// The time between an answer and the agent's next heartbeat, at most, in heartbeat intervals.
+constexpr double kMaxHeartbeatIntervals = 1.25;
+// How long an agent takes to find this leader again after a stall, beyond one interval. Agents try
+// other controllers after 4 s without an answer.
+constexpr Micros kReconnectTime = Seconds(6);
+constexpr Micros kHeartbeatDelivery = Seconds(1);
+
+constexpr Micros kMaxPendingAge = Millis(1500);  // of a heartbeat whose answer is held back
+
+constexpr Micros kDefaultBootTime = Seconds(60);  // of machines of unknown type
+constexpr Micros kBootMargin = Seconds(5);
+
+// Unreconciled machines are released early if at most one machine in so many is unreconciled.
+constexpr size_t kFewUnreconciled = 10;
+constexpr size_t kVeryFewUnreconciled = 50;
+
+constexpr Micros kCheckpointMargin = Seconds(3);  // between a checkpoint's end and the preemption
+
+// No heartbeats at all: so many that were expected are missing, for at least so long.
+constexpr int kMissingHeartbeats = 8;
+constexpr Micros kMinHeartbeatGap = Seconds(4);
+
+}  // namespace
+
+bool FailureDetector::ReceivesNoHeartbeats(Micros now) const {
+  if (up_ == 0 || last_heartbeat_at_.count < 0 || now < grace_until_) return false;
+  const Micros expected_gap = settings().heartbeat_interval.Scaled(1.0 * kMissingHeartbeats / up_);
+  return now - last_heartbeat_at_ > std::max(kMinHeartbeatGap, expected_gap);
+}
+
+void FailureDetector::OnProcessStall(Micros now) {
+  grace_until_ =
+      now + settings().heartbeat_interval.Scaled(kMaxHeartbeatIntervals) + kReconnectTime;
+  for (const auto& [id, machine] : machine_table().machines()) machine->missing_since = {-1};
+}
+
+void FailureDetector::Tick(Micros now) {
+  // After a stall all machines look silent and their leases expired, while another leader may have
+  // taken over. Nothing counts as ended before the state service has confirmed this leader's lease.
+  const bool holds_lease = election()->MayStart(now);
+  const Liveness liveness = UpdateTypesAndCount(now);
+  up_ = liveness.up;
+  int probes = reconciler().ProbeUnreconciled(now);
+  for (const auto& [id, machine] : machine_table().machines()) {
+    CheckMachine(now, machine.get(), liveness, holds_lease, &probes);
+  }
+  machine_table().ExpireTombstones(now);
+}
+
+FailureDetector::Liveness FailureDetector::UpdateTypesAndCount(Micros now) const {
+  const Micros contact_timeout = options().silent_probe;
+  const Micros heartbeat_timeout = options().silent_probe + settings().heartbeat_interval;
+  Liveness liveness;
+  for (const auto& [id, machine] : machine_table().machines()) {
+    machine_table().UpdateType(machine.get());
+    if (machine->stage != MachineStage::kUp) continue;
+    ++liveness.up;
+    liveness.contacted += now - machine->last_contact_at < contact_timeout;
+    liveness.heartbeating += now - machine->last_heartbeat_at < heartbeat_timeout;
+  }
+  return liveness;
+}
+
+void FailureDetector::CheckMachine(Micros now, Machine* machine, const Liveness& liveness,
+                                   bool holds_lease, int* probes) {
+  if (!machine->pending_heartbeats.empty() &&
+      now - machine->heartbeats_pending_since > kMaxPendingAge) {
+    heartbeat_handler().AnswerPending(now, machine);
+  }
+  if (holds_lease) ExpireAgentLease(now, machine);
+  if (machine->stage == MachineStage::kBooting) return CheckBoot(now, machine);
+  if (machine->stage != MachineStage::kUp) return;
+  ProbeIfDue(now, machine, probes);
+  if (const char* failure = FailureOf(now, *machine, liveness)) {
+    machine_table().ReleaseMachine(now, machine, failure);
+    return;
+  }
+  if (machine->preemption_at) SaveBeforePreemption(now, machine);
+}
+
+void FailureDetector::ExpireAgentLease(Micros now, Machine* machine) {
+  if (machine->agent_lease_until.count <= 0 || now <= machine->agent_lease_until) return;
+  if (machine->allocations.empty() && machine->reconciled) return;
+  asker()->Info("the lease of " + machine->id + " has run out");
+  machine_table().DropAllocations(now, machine);
+  reconciler().MarkReconciled(now, machine);
+  machine->first_answered_at = {-1};
+}
+
+void FailureDetector::CheckBoot(Micros now, Machine* machine) {
+  const Micros boot_time = machine->type ? machine->type->boot : kDefaultBootTime;
+  const Micros timeout = boot_time.Scaled(options().boot_patience) + kBootMargin;
+  if (now >= grace_until_ && now - machine->rented_at > timeout) {
+    machine_table().ReleaseMachine(now, machine, "it does not come up");
+  }
+}
+
+void FailureDetector::ProbeIfDue(Micros now, Machine* machine, int* probes) {
+  const bool is_silent = now - machine->last_contact_at > options().silent_probe;
+  if (machine->reconciled && !is_silent) return;
+  if (*probes >= AgentClient::kMaxProbesPerTick || !AgentClient::CanProbe(now, *machine)) return;
+  ++*probes;
+  agent_client().Probe(now, machine);
+}
+
+const char* FailureDetector::FailureOf(Micros now, const Machine& machine,
+                                       const Liveness& liveness) const {
+  if (now < grace_until_) return nullptr;
+  if (IsUnreachableAfterFailover(now, machine, liveness)) return "does not answer the new term";
+  // If the fault is likely this leader's, machines are released only when their agent's lease has
+  // expired too: releasing them would lose everything.
+  const Micros contact_timeout =
+      options().silent_return +
+      (liveness.IsMostlySilent() ? settings().agent_lease : settings().heartbeat_interval);
+  if (now - machine.last_contact_at > contact_timeout) {
+    return IsKnownToReceive(now, machine) ? "silent" : "never heard in this term";
+  }
+  // After two agent leases without heartbeats nothing runs on it, and nothing can be started.
+  const Micros heartbeat_timeout = options().silent_return + settings().agent_lease.Scaled(2);
+  if (liveness.IsMostlyHeartbeating() && now - machine.last_heartbeat_at > heartbeat_timeout) {
+    return "answers, but reports to nobody";
+  }
+  return nullptr;
+}
+
+// One unreachable machine holds back all jobs that may still run on it. If nearly all others have
+// answered it is released early: its removal by the cloud reconciles it as well.
+bool FailureDetector::IsUnreachableAfterFailover(Micros now, const Machine& machine,
+                                                 const Liveness& liveness) const {
+  if (machine.reconciled || IsKnownToReceive(now, machine)) return false;
+  const size_t unreconciled = reconciler().unreconciled().size();
+  const auto up = static_cast<size_t>(liveness.up);
+  const bool is_one_of_few = unreconciled * kFewUnreconciled <= up;
+  if (is_one_of_few && now - began() > options().resolve_wait) return true;
+  const bool is_one_of_very_few = unreconciled * kVeryFewUnreconciled <= up;
+  return is_one_of_very_few && machine.first_probed_at.count >= 0 &&
+         now - machine.first_probed_at > options().resolve_soon;
+}
+
+// The agent has sent a heartbeat of this term, or has learned the term so recently that it is about
+// to. One that learned it long ago and has not sent any does not receive answers.
+bool FailureDetector::IsKnownToReceive(Micros now, const Machine& machine) const {
+  if (machine.sequence > 0) return true;
+  if (machine.first_answered_at.count < 0) return false;
+  return now - machine.first_answered_at <
+         settings().heartbeat_interval.Scaled(kMaxHeartbeatIntervals) + kHeartbeatDelivery;
+}
+
+// Stops the tasks that save checkpoints just in time, so that they lose no work.
+void FailureDetector::SaveBeforePreemption(Micros now, Machine* machine) {
+  std::map<std::string, Job*> gangs_to_save;  // by id; all members save together
+  bool has_stops = false;
+  for (auto& [key, allocation] : machine->allocations) {
+    Job* job = allocation.job;
+    if (allocation.stop_requested || allocation.exited() || !job) continue;
+    if (job->spec.checkpoint_interval.count == 0) continue;
+    const Micros save_time = job->spec.checkpoint_duration;
+    if (*machine->preemption_at - now > save_time + kCheckpointMargin) continue;
+    if (job->IsGang()) {
+      gangs_to_save[job->spec.id] = job;
+    } else {
+      allocation.stop_requested = has_stops = true;
+      allocation.grace_period = save_time;
+    }
+  }
+  if (has_stops) agent_client().SendStops(machine);
+  for (const auto& [id, job] : gangs_to_save) {
+    gangs().Halt(now, job, job->spec.checkpoint_duration);
+  }
+}
+
+}  // namespace badgershore
--- a/src/core/leader/gangs.cpp
+++ b/src/core/leader/gangs.cpp
@@ -1,11 +1,13 @@
 // Gangs: all members at once or none.
 #include "core/leader/gangs.h"
 
+#include "core/leader/agent_client.h"
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/quota_checker.h"
 #include "core/leader/quota_reservations.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/sharing.h"
 #include "core/leader/usage_accounting.h"
 #include "core/placement/autoscale.h"
@@ -55,7 +57,7 @@
       if (turn.others == 0) turn.at = now + kPressEvery;
     }
     // For one that fails wherever it starts nothing else is stopped.
-    if (job->placed > 0 || now < job->backoff_until || machine_table().Held(*job) ||
+    if (job->placed > 0 || now < job->backoff_until || reconciler().MayStillRun(*job) ||
         job->IsFaulty()) {
       Release(job);
       continue;
@@ -133,7 +135,7 @@
       }
       ++it;
     }
-    if (any) machine_table().HaltNow(now, m.get());
+    if (any) agent_client().SendStops(m.get());
   }
   job->gang_stopping = true;
 }
@@ -144,14 +146,14 @@
     // Every member is proved gone; the next attempt is a new one.
     job->gang_attempt = 0;
     job->gang_attempt_ran = job->gang_stopping = false;
-    if (now >= job->backoff_until && !machine_table().Held(*job)) Place(now, job);
+    if (now >= job->backoff_until && !reconciler().MayStillRun(*job)) Place(now, job);
     return;
   }
   if (job->gang_stopping || job->placed == job->remaining()) return;
   // A member is missing. Before the gang has run, a replacement completes it; afterwards the
   // others have nothing to wait for.
   if (job->gang_attempt_ran) return Halt(now, job, {});
-  if (!machine_table().Held(*job)) Place(now, job);
+  if (!reconciler().MayStillRun(*job)) Place(now, job);
 }
 
 bool Gangs::MayStop(const Allocation& o, const Job& gang) const {
@@ -208,7 +210,7 @@
     missing = missing - c.o->need;
     told[c.machine->id] = c.machine;
   }
-  for (auto& [id, m] : told) machine_table().HaltNow(now, m);
+  for (auto& [id, m] : told) agent_client().SendStops(m);
 }
 
 // What it costs, in CPU seconds, that the gang's member has this machine; nothing where it can't.
@@ -266,7 +268,7 @@
   for (const std::string& only : zones) {
     std::vector<Choice> choices;
     for (auto& [id, m] : machine_table().machines()) {
-      if (!machine_table().Ready(*m, now) || !Allows(gang->spec, *m->type, m->zone, m->spot))
+      if (!machine_table().IsReady(*m, now) || !Allows(gang->spec, *m->type, m->zone, m->spot))
         continue;
       if ((!only.empty() && m->zone != only) || (m->reserved_for && m->reserved_for != gang))
         continue;
@@ -355,7 +357,7 @@
   asker()->Debug("clearing " + m->id + " for gang " + gang.spec.id + ", " +
                  std::to_string(static_cast<int>(lost)) + " CPU seconds lost");
   dispatch().Unbind(m);
-  machine_table().HaltNow(now, m);
+  agent_client().SendStops(m);
 }
 
 // A member that left a gang still gathering (`alone`, refused) is replaced under the same attempt.
@@ -364,7 +366,7 @@
 // exited. Elsewhere its image would have to be fetched once more, so it is waited for.
 bool Gangs::AwaitsClear(Micros now, const Job& job, const std::vector<int>& members) const {
   for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().Ready(*m, now)) continue;
+    if (!machine_table().IsReady(*m, now)) continue;
     for (int task : members) {
       if (m->allocations.contains({{job.spec.id, task}, job.gang_attempt})) return true;
     }
@@ -389,7 +391,7 @@
   for (const std::string& only : zones) {
     std::vector<Room> rooms;
     for (auto& [id, m] : machine_table().machines()) {
-      if (!machine_table().Ready(*m, now) || !Allows(job->spec, *m->type, m->zone, m->spot))
+      if (!machine_table().IsReady(*m, now) || !Allows(job->spec, *m->type, m->zone, m->spot))
         continue;
       if (!only.empty() && m->zone != only) continue;
       if (!usage_accounting().ZoneAllows(*job, m->zone) ||
--- a/src/core/leader/heartbeat_handler.cpp
+++ b/src/core/leader/heartbeat_handler.cpp
@@ -1,8 +1,11 @@
 #include "core/leader/heartbeat_handler.h"
 
+#include "core/leader/agent_client.h"
 #include "core/leader/dispatch.h"
+#include "core/leader/heartbeat_processor.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/recorder.h"
 
 namespace badgershore {
@@ -31,7 +34,7 @@
   if (!authority().MayAnswer(now)) return Outcome::kReject;
   // Duplicates of heartbeats can arrive late, even for removed machines. No state of a machine may
   // change before the heartbeat is known to be the agent's latest.
-  if (machine_table().Buried(heartbeat.machine)) return Outcome::kSuperseded;
+  if (machine_table().IsTombstoned(heartbeat.machine)) return Outcome::kSuperseded;
   Machine* machine = machine_table().Find(heartbeat.machine);
   if (machine && machine->IsSuperseded(heartbeat)) return Outcome::kSuperseded;
   // Starts go only to agents that have seen this term, so that they reject earlier leaders'
@@ -40,18 +43,19 @@
     return AnswerUnknownTerm(now, heartbeat, commands);
   }
   if (!machine) {
-    machine = machine_table().Adopt(now, heartbeat.machine, heartbeat.endpoint, heartbeat.type,
-                                    heartbeat.zone, heartbeat.spot);
+    machine = machine_table().FindOrAdd(now, {heartbeat.machine, heartbeat.endpoint, heartbeat.type,
+                                              heartbeat.zone, heartbeat.spot});
   }
   ExtendAgentLease(now, machine);
-  const bool fresh = machine_table().Absorb(now, machine, heartbeat, true);
+  const bool fresh =
+      heartbeat_processor().Process(now, machine, heartbeat, HeartbeatSource::kAgent);
   machine->heartbeat_sequence = heartbeat.sequence;
   machine->first_answered_at = {-1};
   if (!fresh) {  // the answer to a direct call was newer
-    AppendStops(*machine, commands);
+    AgentClient::AppendStops(*machine, commands);
     return Outcome::kAnswer;
   }
-  machine_table().Resolve(now, machine);
+  reconciler().MarkReconciled(now, machine);
   if (!machine->durable && authority().MayStart(now)) {
     recorder().Keep(now, machine);
     AddPending(now, machine, request_id);
@@ -120,7 +124,7 @@
 // of with its next heartbeat, seconds later.
 bool HeartbeatHandler::ShouldDelayAnswer(Micros now, const Machine& machine) const {
   return options().hold_checkin.count > 0 && machine.durable && machine.allocations.empty() &&
-         machine.queue.empty() && !machine.preemption_at && machine_table().Ready(machine, now) &&
+         machine.queue.empty() && !machine.preemption_at && machine_table().IsReady(machine, now) &&
          authority().MayStart(now);
 }
 
@@ -150,15 +154,6 @@
   machine->pending_heartbeats.clear();
 }
 
-void HeartbeatHandler::AppendStops(const Machine& machine, std::vector<Command>* commands) const {
-  for (const auto& [key, allocation] : machine.allocations) {
-    if (allocation.stop_requested && !allocation.exited() && !allocation.start_unsent) {
-      commands->push_back(
-          {Command::Verb::kStop, allocation.ref, allocation.attempt, allocation.grace_period});
-    }
-  }
-}
-
 void HeartbeatHandler::AppendForgets(const Machine& machine, std::vector<Command>* commands) const {
   for (const auto& [key, allocation] : machine.allocations) {
     if (!allocation.exited()) continue;
@@ -185,14 +180,14 @@
 
 void HeartbeatHandler::AppendCommands(Micros now, Machine* machine,
                                       std::vector<Command>* commands) {
-  AppendStops(*machine, commands);
+  AgentClient::AppendStops(*machine, commands);
   AppendForgets(*machine, commands);
   if (!authority().MayStart(now) || !machine->durable || !machine->reconciled || !machine->type) {
     return;
   }
   if (machine->stage != MachineStage::kUp) return;
   AppendReservedStarts(machine, commands);
-  if (!machine_table().Ready(*machine, now)) return;
+  if (!machine_table().IsReady(*machine, now)) return;
   dispatch().BindWaiting(now);
   dispatch().StartFrom(now, machine, commands);
   if (!machine->allocations.empty()) machine->idle_since = {-1};
--- a/src/core/leader/heartbeat_handler.h
+++ b/src/core/leader/heartbeat_handler.h
@@ -39,7 +39,6 @@
   void ExtendAgentLease(Micros now, Machine* machine) const;
   bool ShouldDelayAnswer(Micros now, const Machine& machine) const;
   void AddPending(Micros now, Machine* machine, RequestId request_id) const;
-  void AppendStops(const Machine& machine, std::vector<Command>* commands) const;
   void AppendForgets(const Machine& machine, std::vector<Command>* commands) const;
   void AppendReservedStarts(Machine* machine, std::vector<Command>* commands) const;
   void AppendCommands(Micros now, Machine* machine, std::vector<Command>* commands);
--- /dev/null
+++ b/src/core/leader/heartbeat_processor.h
@@ -0,0 +1,47 @@
+// Application of heartbeats to the leader's state.
+#pragma once
+
+#include <set>
+#include <utility>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+enum class HeartbeatSource {
+  kAgent,       // sent by the agent on its own
+  kDirectCall,  // in the answer to a call of the leader
+};
+
+// Updates a machine and the jobs on it from what a heartbeat proves: the agent is alive in this
+// epoch, the listed tasks are in these phases, and tasks that it no longer lists have ended.
+class HeartbeatProcessor : public Part {
+ public:
+  using Part::Part;
+
+  // False: the heartbeat is older than the last one and changes nothing.
+  bool Process(Micros now, Machine* machine, const Heartbeat& heartbeat, HeartbeatSource source);
+
+ private:
+  using AllocationKey = std::pair<TaskRef, uint64_t>;  // with the attempt, as in Machine
+
+  void EndAgentEpoch(Micros now, Machine* machine);
+  void RecordContact(Micros now, Machine* machine, const Heartbeat& heartbeat,
+                     HeartbeatSource source);
+  void MarkUp(Micros now, Machine* machine);
+  void RecordPreemptionNotice(Micros now, Machine* machine, Micros notice);
+  void ProcessTask(Micros now, Machine* machine, const TaskStatus& status);
+  // Null: the job is over or has no such task.
+  Job* FindJob(const TaskRef& ref) const;
+  Allocation* AddUnknownTask(Micros now, Machine* machine, const TaskStatus& status, Job* job);
+  void NoteGangRunning(Micros now, Job* gang);
+  void OnTaskExited(Micros now, Machine* machine, Allocation* allocation, ExitReason reason);
+  Micros OnTaskFailed(Micros now, Machine* machine, Job* job, int task);
+  void RemoveUnlisted(Micros now, Machine* machine, const Heartbeat& heartbeat,
+                      HeartbeatSource source, const std::set<AllocationKey>& listed);
+  void UpdateIdleSince(Micros now, Machine* machine) const;
+};
+
+}  // namespace badgershore
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -1,5 +1,6 @@
 #include "core/leader/job_table.h"
 
+#include "core/leader/agent_client.h"
 #include "core/leader/gangs.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/quota_checker.h"
@@ -136,7 +137,7 @@
       }
       ++o;
     }
-    if (any) machine_table().HaltNow(now, m.get());
+    if (any) agent_client().SendStops(m.get());
   }
 }
 
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -30,6 +30,10 @@
       quota_checker_(&context_),
       quota_reservations_(&context_),
       machine_table_(&context_),
+      agent_client_(&context_),
+      heartbeat_processor_(&context_),
+      reconciler_(&context_),
+      failure_detector_(&context_),
       dispatch_(&context_),
       gangs_(&context_),
       recorder_(&context_, now),
@@ -47,6 +51,10 @@
   context_.quota_checker = &quota_checker_;
   context_.quota_reservations = &quota_reservations_;
   context_.machine_table = &machine_table_;
+  context_.agent_client = &agent_client_;
+  context_.heartbeat_processor = &heartbeat_processor_;
+  context_.reconciler = &reconciler_;
+  context_.failure_detector = &failure_detector_;
   context_.dispatch = &dispatch_;
   context_.gangs = &gangs_;
   context_.recorder = &recorder_;
@@ -155,8 +163,8 @@
     early_.pop_front();
   }
   if (!ready_) return;
-  if (gap > kStoodStill) machine_table_.Awoke(now);
-  machine_table_.Watch(now);
+  if (gap > kStoodStill) failure_detector_.OnProcessStall(now);
+  failure_detector_.Tick(now);
   if (!context_.election->leads()) return;
   rights_.Tick(now);
   job_table_.GoOn(now);
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -8,16 +8,20 @@
 #include <vector>
 
 #include "core/frontend/mirror.h"
+#include "core/leader/agent_client.h"
 #include "core/leader/dispatch.h"
+#include "core/leader/failure_detector.h"
 #include "core/leader/fault_attribution.h"
 #include "core/leader/gangs.h"
 #include "core/leader/heartbeat_handler.h"
+#include "core/leader/heartbeat_processor.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/part.h"
 #include "core/leader/provisioner.h"
 #include "core/leader/quota_checker.h"
 #include "core/leader/quota_reservations.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/recorder.h"
 #include "core/leader/rights.h"
 #include "core/leader/sharing.h"
@@ -56,7 +60,9 @@
   const Rights& rights() const { return rights_; }
   bool recording() const { return recorder_.writing(); }
   bool ready() const { return ready_; }
-  bool Deaf(Micros now) const { return ready_ && machine_table_.Deaf(now); }
+  bool ReceivesNoHeartbeats(Micros now) const {
+    return ready_ && failure_detector_.ReceivesNoHeartbeats(now);
+  }
   std::string Explain(Micros now, const std::string& job) const {
     return supervisor_.Explain(now, job);
   }
@@ -93,6 +99,10 @@
   QuotaChecker quota_checker_;
   QuotaReservations quota_reservations_;
   MachineTable machine_table_;
+  AgentClient agent_client_;
+  HeartbeatProcessor heartbeat_processor_;
+  Reconciler reconciler_;
+  FailureDetector failure_detector_;
   Dispatch dispatch_;
   Gangs gangs_;
   Recorder recorder_;
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -15,12 +15,16 @@
 
 namespace badgershore {
 
+class AgentClient;
 class Autoscaler;
+class FailureDetector;
 class FaultAttribution;
 class JobTable;
 class HeartbeatHandler;
+class HeartbeatProcessor;
 class Dispatch;
 class Gangs;
+class Reconciler;
 class Recorder;
 class Provisioner;
 class QuotaChecker;
@@ -44,12 +48,16 @@
   int64_t began_ms = 0;  // the time of day then
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
+  AgentClient* agent_client = nullptr;
   Autoscaler* scaler = nullptr;
+  FailureDetector* failure_detector = nullptr;
   FaultAttribution* fault_attribution = nullptr;
   JobTable* job_table = nullptr;
+  HeartbeatProcessor* heartbeat_processor = nullptr;
   HeartbeatHandler* heartbeat_handler = nullptr;
   Dispatch* dispatch = nullptr;
   Gangs* gangs = nullptr;
+  Reconciler* reconciler = nullptr;
   Recorder* recorder = nullptr;
   Provisioner* provisioner = nullptr;
   QuotaChecker* quota_checker = nullptr;
@@ -78,12 +86,16 @@
   Micros began() const { return context_->began; }
   int64_t began_ms() const { return context_->began_ms; }
 
+  AgentClient& agent_client() const { return *context_->agent_client; }
   Autoscaler& scaler() const { return *context_->scaler; }
+  FailureDetector& failure_detector() const { return *context_->failure_detector; }
   FaultAttribution& fault_attribution() const { return *context_->fault_attribution; }
   JobTable& job_table() const { return *context_->job_table; }
+  HeartbeatProcessor& heartbeat_processor() const { return *context_->heartbeat_processor; }
   HeartbeatHandler& heartbeat_handler() const { return *context_->heartbeat_handler; }
   Dispatch& dispatch() const { return *context_->dispatch; }
   Gangs& gangs() const { return *context_->gangs; }
+  Reconciler& reconciler() const { return *context_->reconciler; }
   Recorder& recorder() const { return *context_->recorder; }
   Provisioner& provisioner() const { return *context_->provisioner; }
   QuotaChecker& quota_checker() const { return *context_->quota_checker; }
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -1,10 +1,12 @@
 // Dealings with the cloud.
 #include "core/leader/provisioner.h"
 
+#include "core/leader/agent_client.h"
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/quota_checker.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/recorder.h"
 #include "core/leader/rights.h"
 
@@ -89,21 +91,21 @@
             m->missing_since = t;
           } else if (t - m->missing_since > settings().cloud_list_lag.Scaled(2) + Seconds(4) &&
                      t - m->last_contact_at > options().silent_probe) {
-            machine_table().GiveBack(t, m.get(), "gone from the cloud's list");
+            machine_table().ReleaseMachine(t, m.get(), "gone from the cloud's list");
           }
         }
       }));
 }
 
 void Provisioner::Listed(Micros now, const CloudInstance& l) {
-  if (machine_table().Buried(l.id)) {
+  if (machine_table().IsTombstoned(l.id)) {
     // Given back long ago and still there: once more.
-    if (machine_table().RisesAgain(now, l.id)) return_queue_.push_back(l.id);
+    if (machine_table().ShouldRetryRelease(now, l.id)) return_queue_.push_back(l.id);
     return;
   }
   Machine* m = machine_table().Find(l.id);
   if (!m) {
-    m = machine_table().Adopt(now, l.id, l.endpoint, l.type, l.zone, l.spot);
+    m = machine_table().FindOrAdd(now, {l.id, l.endpoint, l.type, l.zone, l.spot});
     m->rented_at = now - l.age;
   }
   if (!m->listed_by_cloud) {
@@ -112,7 +114,7 @@
     if (m->endpoint.empty()) m->endpoint = l.endpoint;
   }
   if (l.phase == CloudInstance::Phase::kFailed)
-    machine_table().GiveBack(now, m, "failed, says the cloud");
+    machine_table().ReleaseMachine(now, m, "failed, says the cloud");
 }
 
 void Provisioner::Rent(Micros now, const Offer& offer, int count) {
@@ -145,9 +147,9 @@
                    p.asking = false;
                    if (r.ok()) {
                      for (const std::string& id : r.created) {
-                       if (machine_table().Buried(id)) continue;
-                       Machine* m = machine_table().Adopt(t, id, "", p.offer.type, p.offer.zone,
-                                                          p.offer.spot);
+                       if (machine_table().IsTombstoned(id)) continue;
+                       Machine* m = machine_table().FindOrAdd(
+                           t, {id, "", p.offer.type, p.offer.zone, p.offer.spot});
                        m->rented_at = std::min(m->rented_at, t);
                      }
                      if (r.created.size() < static_cast<size_t>(p.count))
@@ -168,7 +170,7 @@
 void Provisioner::Scale(Micros now) {
   scale_at_ = now + Seconds(1);
   // While what runs where is not known, the need isn't either.
-  if (!machine_table().unresolved().empty() && now - began() < Seconds(3)) return;
+  if (!reconciler().unreconciled().empty() && now - began() < Seconds(3)) return;
   ScaleView view;
   view.now = now;
   view.reign_began = began();
@@ -207,11 +209,11 @@
       o.stop_requested = any = true;
       o.grace_period = o.job->spec.checkpoint_duration;
     }
-    if (any) machine_table().HaltNow(now, m);
+    if (any) agent_client().SendStops(m);
     if (m->allocations.empty() && m->idle_since.count < 0) m->idle_since = now;
   }
   for (Machine* m : plan.give_back) {
-    if (m->allocations.empty() && m->queue.empty()) machine_table().GiveBack(now, m, "idle");
+    if (m->allocations.empty() && m->queue.empty()) machine_table().ReleaseMachine(now, m, "idle");
   }
   for (const RentPlan& r : plan.rent) Rent(now, r.offer, r.count);
   CountPaid(now);
--- /dev/null
+++ b/src/core/leader/reconciler.h
@@ -0,0 +1,33 @@
+// Reconciliation of the machines after a failover.
+#pragma once
+
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+// Tracks the machines on which tasks of earlier leaders may run. A machine is reconciled once its
+// agent has answered this term, its lease has expired, or the cloud has removed it.
+class Reconciler : public Part {
+ public:
+  using Part::Part;
+
+  const std::vector<Machine*>& unreconciled() const { return unreconciled_; }
+  // The machine is on record, but its tasks are unknown.
+  void MarkUnreconciled(Machine* machine);
+  // The machine's tasks are known, and no earlier leader can start any.
+  void MarkReconciled(Micros now, Machine* machine);
+  // Tasks of the job may run on an unreconciled machine, or its cancellation is being recorded.
+  // Nothing of such a job may be started.
+  bool MayStillRun(const Job& job) const;
+  // Begins probes of unreconciled machines. Returns how many; see AgentClient::kMaxProbesPerTick.
+  int ProbeUnreconciled(Micros now);
+
+ private:
+  std::vector<Machine*> unreconciled_;  // in the order of loading
+};
+
+}  // namespace badgershore
--- a/src/core/leader/sharing.cpp
+++ b/src/core/leader/sharing.cpp
@@ -2,10 +2,12 @@
 
 #include <algorithm>
 
+#include "core/leader/agent_client.h"
 #include "core/leader/dispatch.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/quota_checker.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/usage_accounting.h"
 
 namespace badgershore {
@@ -78,7 +80,7 @@
 void Sharing::Weigh(Micros now) {
   Resources all, free;
   for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().Ready(*m, now)) continue;
+    if (!machine_table().IsReady(*m, now)) continue;
     all = all + m->type->size;
     free = free + (m->type->size - m->Used());
   }
@@ -161,7 +163,7 @@
 std::vector<Sharing::Freed> Sharing::PlacesFor(Micros now, const Job& job, int tasks) const {
   std::vector<Freed> places;
   for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().Ready(*m, now) || m->held_for || m->reserved_for) continue;
+    if (!machine_table().IsReady(*m, now) || m->held_for || m->reserved_for) continue;
     if (!Allows(job.spec, *m->type, m->zone, m->spot) ||
         !usage_accounting().ZoneAllows(job, m->zone)) {
       continue;
@@ -182,7 +184,7 @@
   for (const auto& [id, m] : machine_table().machines()) {
     if (m->held_for == job) missing -= m->held_tasks;
   }
-  if (missing <= 0 || machine_table().Held(*job) || !quota_checker().Allows(*job, 1)) return;
+  if (missing <= 0 || reconciler().MayStillRun(*job) || !quota_checker().Allows(*job, 1)) return;
   auto& [stopped, since] = stopped_[static_cast<size_t>(job->team)];
   if (now - since >= kStopWindow) {
     stopped = 0;
@@ -220,7 +222,7 @@
     place.machine->held_until = now + kKeepRoom + save;
     tasks += holds;
     missing -= holds;
-    if (!place.victims.empty()) machine_table().HaltNow(now, place.machine);
+    if (!place.victims.empty()) agent_client().SendStops(place.machine);
   }
   if (told > 0) {
     asker()->Debug("guarantee of " + job->spec.team + ": " + std::to_string(told) +
--- a/src/core/leader/supervisor.cpp
+++ b/src/core/leader/supervisor.cpp
@@ -5,6 +5,7 @@
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
 #include "core/leader/quota_checker.h"
+#include "core/leader/reconciler.h"
 #include "core/leader/usage_accounting.h"
 
 namespace badgershore {
@@ -20,8 +21,8 @@
 std::string Supervisor::WhyItWaits(Micros now, const Job& job) const {
   if (job.finishing) return "all done, its end waits to be written";
   if (job.cancel_pending) return "its cancellation is being recorded";
-  if (machine_table().Held(job))
-    return Number(static_cast<int64_t>(machine_table().unresolved().size())) +
+  if (reconciler().MayStillRun(job))
+    return Number(static_cast<int64_t>(reconciler().unreconciled().size())) +
            " machines unresolved";
   if (!election()->MayStart(now)) return "the lease does not hold";
   if (!authority().MayStart(now)) return "what was cancelled of late is not known";
@@ -40,7 +41,7 @@
       continue;
     }
     ++able;
-    if (!machine_table().Ready(*m, now)) continue;
+    if (!machine_table().IsReady(*m, now)) continue;
     ++ready;
     unrecorded += !m->durable;
     room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
@@ -137,7 +138,7 @@
   job->running = running;
   job->zone_count = zones;
   for (auto& [machine_id, m] : doubtful)
-    machine_table().GiveBack(now, m, "it and the leader differ on what it runs");
+    machine_table().ReleaseMachine(now, m, "it and the leader differ on what it runs");
 }
 
 }  // namespace badgershore
