--- a/src/core/leader/failure_detector.cpp
+++ b/src/core/leader/failure_detector.cpp
@@ -94,7 +94,7 @@
 void FailureDetector::ExpireAgentLease(Micros now, Machine* machine) {
   if (machine->agent_lease_until.count <= 0 || now <= machine->agent_lease_until) return;
   if (machine->allocations.empty() && machine->reconciled) return;
-  asker()->Info("the lease of " + machine->id + " has run out");
+  asker()->Info("machine " + machine->id + ": lease expired");
   machine_table().DropAllocations(now, machine);
   reconciler().MarkReconciled(now, machine);
   machine->first_answered_at = {-1};
@@ -104,7 +104,7 @@
   const Micros boot_time = machine->type ? machine->type->boot : kDefaultBootTime;
   const Micros timeout = boot_time.Scaled(options().boot_patience) + kBootMargin;
   if (now >= grace_until_ && now - machine->rented_at > timeout) {
-    machine_table().ReleaseMachine(now, machine, "it does not come up");
+    machine_table().ReleaseMachine(now, machine, "boot timeout");
   }
 }
 
@@ -119,19 +119,21 @@
 const char* FailureDetector::FailureOf(Micros now, const Machine& machine,
                                        const Liveness& liveness) const {
   if (now < grace_until_) return nullptr;
-  if (IsUnreachableAfterFailover(now, machine, liveness)) return "does not answer the new term";
+  if (IsUnreachableAfterFailover(now, machine, liveness))
+    return "not reconciled: no answer in this term";
   // If the fault is likely this leader's, machines are released only when their agent's lease has
   // expired too: releasing them would lose everything.
   const Micros contact_timeout =
       options().silent_return +
       (liveness.IsMostlySilent() ? settings().agent_lease : settings().heartbeat_interval);
   if (now - machine.last_contact_at > contact_timeout) {
-    return IsKnownToReceive(now, machine) ? "silent" : "never heard in this term";
+    return IsKnownToReceive(now, machine) ? "agent unreachable"
+                                          : "agent unreachable since the term began";
   }
   // After two agent leases without heartbeats nothing runs on it, and nothing can be started.
   const Micros heartbeat_timeout = options().silent_return + settings().agent_lease.Scaled(2);
   if (liveness.IsMostlyHeartbeating() && now - machine.last_heartbeat_at > heartbeat_timeout) {
-    return "answers, but reports to nobody";
+    return "no heartbeats, though probes are answered";
   }
   return nullptr;
 }
--- a/src/core/leader/fault_attribution.cpp
+++ b/src/core/leader/fault_attribution.cpp
@@ -86,7 +86,8 @@
 
 // Clears the machines of this job's failures and takes its tasks off their queues.
 void FaultAttribution::MarkFaulty(Micros now, Job* job) {
-  asker()->Info("job " + job->spec.id + " fails wherever it starts: one task at a time");
+  asker()->Info("job " + job->spec.id +
+                ": marked faulty, fails on every machine; probing with one task at a time");
   job->next_probe_at = now;
   for (const auto& [id, machine] : machine_table().machines()) {
     if (machine->failed_jobs.erase(job->spec.id) > 0 && machine->failed_jobs.empty()) {
--- a/src/core/leader/heartbeat_processor.cpp
+++ b/src/core/leader/heartbeat_processor.cpp
@@ -84,16 +84,16 @@
   }
   LevelCounters(machine, peers);
   asker()->Info("machine " + machine->id + " (" + machine->type_name +
-                (machine->spot ? ", spot" : "") + ") up " +
+                (machine->spot ? ", spot" : "") + "): up " +
                 std::to_string(static_cast<int>((now - machine->rented_at).ToSeconds())) +
-                " s after its request");
+                " s after it was requested");
 }
 
 void HeartbeatProcessor::RecordPreemptionNotice(Micros now, Machine* machine, Micros notice) {
   machine->preemption_at = now + notice;
   dispatch().Unbind(machine);
-  asker()->Info("machine " + machine->id + " will be taken in " +
-                std::to_string(notice.ToSeconds()) + " s");
+  asker()->Info("machine " + machine->id + ": preemption notice, " +
+                std::to_string(notice.ToSeconds()) + " s left");
 }
 
 Job* HeartbeatProcessor::FindJob(const TaskRef& ref) const {
@@ -191,7 +191,7 @@
   const FaultAttribution::Attribution attribution =
       fault_attribution().OnTaskFailed(now, machine, job, task);
   if (attribution.machine_at_fault) {
-    machine_table().ReleaseMachine(now, machine, "its tasks fail");
+    machine_table().ReleaseMachine(now, machine, "tasks keep failing");
   }
   return attribution.retry_delay;
 }
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -103,7 +103,7 @@
   // Without the lease another leader may be using the machine. The reason to release it is found
   // again once the lease is confirmed.
   if (!election()->MayStart(now)) return;
-  asker()->Info("returning " + machine->id + " (" + machine->type_name +
+  asker()->Info("releasing machine " + machine->id + " (" + machine->type_name +
                 (machine->spot ? ", spot" : "") + "): " + reason + ", held " +
                 std::to_string(static_cast<int>((now - machine->rented_at).ToSeconds())) + " s");
   dispatch().Unbind(machine);
--- a/src/core/leader/reconciler.cpp
+++ b/src/core/leader/reconciler.cpp
@@ -19,9 +19,9 @@
   usage_accounting().RefreshUncertainUse(machine);
   unreconciled_.erase(std::remove(unreconciled_.begin(), unreconciled_.end(), machine),
                       unreconciled_.end());
-  asker()->Debug("machine " + machine->id + " resolved");
+  asker()->Debug("machine " + machine->id + " reconciled");
   if (unreconciled_.empty()) {
-    asker()->Info("all machines resolved " + std::to_string((now - began()).ToMillis()) +
+    asker()->Info("all machines reconciled " + std::to_string((now - began()).ToMillis()) +
                   " ms into the term");
   }
 }
