--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -36,22 +36,22 @@
 void Commits(benchmark::State& state) {
   const std::string dir = Folder();
   {
-    Engine engine(dir + "/s", Engine::Mode::kOwn);
+    Engine engine(dir + "/s", Engine::OpenMode::kReadWrite);
     uint64_t n = 0;
     for (auto _ : state) {
       state.PauseTiming();
       Batch whole;
-      whole.epoch = n;
+      whole.revision = n;
       for (int64_t w = 0; w < state.range(0); ++w) {
         ++n;
         const std::string key = Key(n % 100000);
-        whole.epoch = n;
-        whole.items[key] = Item{"\"" + std::string(kValue, 'x') + "\"", n, 0};
-        whole.log.push_back({n, key, whole.items[key]->value});
+        whole.revision = n;
+        whole.items[key] = VersionedValue{"\"" + std::string(kValue, 'x') + "\"", n, 0};
+        whole.change_log.push_back({n, key, whole.items[key]->value});
       }
-      whole.compacted = n > kKeptChanges ? n - kKeptChanges : 0;
+      whole.compacted_revision = n > kMinChangeLogEntries ? n - kMinChangeLogEntries : 0;
       state.ResumeTiming();
-      if (engine.Write(whole) != Written::kDurable) state.SkipWithError("not written");
+      if (engine.Write(whole) != WriteOutcome::kDurable) state.SkipWithError("not written");
     }
     state.SetItemsProcessed(static_cast<int64_t>(n));
   }
@@ -135,23 +135,23 @@
 }
 BENCHMARK(CommitsInSqlite)->Arg(1)->Arg(16)->Arg(256)->UseRealTime()->Unit(benchmark::kMicrosecond);
 
-Image Filled(uint64_t keys) {
-  Image image;
+StateImage Filled(uint64_t keys) {
+  StateImage image;
   for (uint64_t n = 1; n <= keys; ++n) {
-    image.items[Key(n)] = Item{"\"" + std::string(kValue, 'x') + "\"", n, 0};
+    image.items[Key(n)] = VersionedValue{"\"" + std::string(kValue, 'x') + "\"", n, 0};
   }
-  image.epoch = image.compacted = keys;
+  image.revision = image.compacted_revision = keys;
   return image;
 }
 
 void Ranges(benchmark::State& state) {
-  Machine machine({}, Filled(100000), Seconds(1));
-  Token token = 0;
+  StateMachine machine({}, Filled(100000), Seconds(1));
+  RequestId token = 0;
   std::string after;
   for (auto _ : state) {
-    machine.Ask(Seconds(1), ++token, RangeRequest{"job/", after, 500});
-    const Answer a = machine.Take().answers.at(0).second;
-    after = a.truncated ? a.items.back().first : "";
+    machine.Submit(Seconds(1), ++token, ListRequest{"job/", after, 500});
+    const Response a = machine.TakeEffects().responses.at(0).second;
+    after = a.has_more ? a.entries.back().first : "";
   }
   state.SetItemsProcessed(state.iterations() * 500);
 }
@@ -159,21 +159,22 @@
 
 // One commit with so many watches open, a tenth of which want its key.
 void CommitsUnderWatches(benchmark::State& state) {
-  Machine machine({}, {}, Seconds(1));
-  Token token = 0;
+  StateMachine machine({}, {}, Seconds(1));
+  RequestId token = 0;
   uint64_t n = 0;
   for (auto _ : state) {
     state.PauseTiming();
     while (machine.watches() < static_cast<size_t>(state.range(0))) {
       const std::string prefix = ++token % 10 == 0 ? "job/" : "other" + std::to_string(token) + "/";
-      machine.Ask(Seconds(1), token, WatchRequest{prefix, machine.image().epoch, Seconds(60)});
+      machine.Submit(Seconds(1), token,
+                     WatchRequest{prefix, machine.state().revision, Seconds(60)});
     }
     state.ResumeTiming();
-    CommitRequest r;
-    r.changes.push_back({Key(++n % 1000), "1", 0});
-    machine.Ask(Seconds(1), ++token, std::move(r));
-    machine.OnWritten(Seconds(1), machine.Take().write->id, Written::kDurable);
-    benchmark::DoNotOptimize(machine.Take());
+    CompareAndSwapRequest r;
+    r.mutations.push_back({Key(++n % 1000), "1", 0});
+    machine.Submit(Seconds(1), ++token, std::move(r));
+    machine.OnWriteCompleted(Seconds(1), machine.TakeEffects().write->id, WriteOutcome::kDurable);
+    benchmark::DoNotOptimize(machine.TakeEffects());
   }
 }
 BENCHMARK(CommitsUnderWatches)->Arg(0)->Arg(500)->Unit(benchmark::kMicrosecond);
@@ -188,15 +189,15 @@
 void Recovery(benchmark::State& state) {
   const std::string dir = Folder();
   {
-    Engine engine(dir + "/s", Engine::Mode::kOwn);
-    engine.Fill(Filled(static_cast<uint64_t>(state.range(0))));
+    Engine engine(dir + "/s", Engine::OpenMode::kReadWrite);
+    engine.Initialize(Filled(static_cast<uint64_t>(state.range(0))));
   }
   ::malloc_trim(0);
   const size_t before = ResidentMb();
   for (auto _ : state) {
-    Engine engine(dir + "/s", Engine::Mode::kOwn);
-    const Machine machine({}, engine.Load(), Seconds(1));
-    state.counters["keys"] = static_cast<double>(machine.image().items.size());
+    Engine engine(dir + "/s", Engine::OpenMode::kReadWrite);
+    const StateMachine machine({}, engine.Load(), Seconds(1));
+    state.counters["keys"] = static_cast<double>(machine.state().items.size());
     state.counters["resident_mb"] = static_cast<double>(ResidentMb() - before);
   }
   fs::remove_all(dir);
--- a/src/check/replication_model.cpp
+++ b/src/check/replication_model.cpp
@@ -221,7 +221,7 @@
 
   void Propose(size_t i) {
     store::Batch batch;
-    batch.last_lease = ++next_batch_;  // which batch it is
+    batch.last_lease_id = ++next_batch_;  // which batch it is
     hosts_[i].replica->Propose(Clock(i), std::move(batch));
     Carry(i);
   }
@@ -275,7 +275,7 @@
     } else if (const auto* entry = std::get_if<replication::StoreEntry>(&write)) {
       disk->stored.position = entry->entry.position;
       disk->stored.history = entry->history;
-      disk->chain.push_back(entry->entry.batch ? entry->entry.batch->last_lease : 0);
+      disk->chain.push_back(entry->entry.batch ? entry->entry.batch->last_lease_id : 0);
     } else if (const auto* image = std::get_if<replication::StoreImage>(&write)) {
       disk->stored.position = image->position;
       disk->stored.history = image->history;
--- a/src/programs/state.cpp
+++ b/src/programs/state.cpp
@@ -40,11 +40,11 @@
 }
 
 int Serve(const std::string& dir, const std::string& listen, const Settings& settings) {
-  store::Engine engine(dir, store::Engine::Mode::kOwn, settings.engine);
-  if (!engine.LoadNote().empty()) {
+  store::Engine engine(dir, store::Engine::OpenMode::kReadWrite, settings.engine);
+  if (!engine.LoadOwnerMetadata().empty()) {
     throw store::DiskError(dir + ": is a replica's; serve it with --replicas and --name");
   }
-  for (const std::string& note : engine.notes()) spdlog::info("{}", note);
+  for (const std::string& note : engine.recovery_warnings()) spdlog::info("{}", note);
   std::signal(SIGPIPE, SIG_IGN);
   io::Loop loop;
   store::Service service(&loop, &engine, settings.limits,
@@ -55,8 +55,8 @@
     return 1;
   }
   io::OnEndSignals(&loop, [&] { loop.Stop(); });
-  spdlog::info("{} keys at revision {}", service.machine().image().items.size(),
-               service.machine().image().epoch);
+  spdlog::info("{} keys at revision {}", service.machine().state().items.size(),
+               service.machine().state().revision);
   std::printf("listening on %s\n", service.address().c_str());
   std::fflush(stdout);
   loop.Run();
@@ -68,8 +68,8 @@
                  const Settings& settings) {
   const replication::ReplicaSet set = replication::LoadReplicaSet(replicas);
   if (!set.Find(name)) throw config::Error("--name: expected one of the replicas in " + replicas);
-  store::Engine engine(dir, store::Engine::Mode::kOwn, settings.engine);
-  for (const std::string& note : engine.notes()) spdlog::info("{}", note);
+  store::Engine engine(dir, store::Engine::OpenMode::kReadWrite, settings.engine);
+  for (const std::string& note : engine.recovery_warnings()) spdlog::info("{}", note);
   std::signal(SIGPIPE, SIG_IGN);
   io::Loop loop;
   replication::ReplicatedService service(&loop, &engine, settings.limits, set, name,
@@ -89,27 +89,28 @@
 // Makes a directory a replica's. Run on every replica before its first start, on equal contents.
 int Init(const std::string& dir, const std::string& replicas) {
   const replication::ReplicaSet set = replication::LoadReplicaSet(replicas);
-  store::Engine engine(dir, store::Engine::Mode::kOwn);
-  if (!engine.LoadNote().empty()) throw store::DiskError(dir + ": is a replica's already");
-  const store::Image image = engine.Load();
+  store::Engine engine(dir, store::Engine::OpenMode::kReadWrite);
+  if (!engine.LoadOwnerMetadata().empty()) throw store::DiskError(dir + ": is a replica's already");
+  const store::StateImage image = engine.Load();
   std::string content = wire::FormatHeadLine(image);
   for (const auto& [key, item] : image.items) content += wire::FormatItemLine(key, item);
   const replication::Stored first = replication::FirstStored(set, store::Sha256(content));
-  if (engine.WriteWithNote(nullptr, replication::Encode(first)) != store::Written::kDurable) {
+  if (engine.WriteWithOwnerMetadata(nullptr, replication::Encode(first)) !=
+      store::WriteOutcome::kDurable) {
     throw store::DiskError(dir + ": can't be written");
   }
   std::printf("%s is a replica's now: %zu keys at revision %llu\n", dir.c_str(), image.items.size(),
-              static_cast<unsigned long long>(image.epoch));
+              static_cast<unsigned long long>(image.revision));
   return 0;
 }
 
 int Look(const std::string& dir, bool dump) {
-  store::Engine engine(dir, store::Engine::Mode::kLook);
-  const store::Image image = engine.Load();
+  store::Engine engine(dir, store::Engine::OpenMode::kReadOnly);
+  const store::StateImage image = engine.Load();
   if (!dump) {
     std::printf("%s is whole: %zu keys, %zu leases, revision %llu\n", dir.c_str(),
                 image.items.size(), image.leases.size(),
-                static_cast<unsigned long long>(image.epoch));
+                static_cast<unsigned long long>(image.revision));
     return 0;
   }
   std::printf("%s\n", wire::FormatHeadLine(image).c_str());
@@ -168,11 +169,11 @@
     if (*init) return Init(dir, replicas);
     if (*check || *dump) return Look(dir, static_cast<bool>(*dump));
     if (*snapshot) {
-      store::Engine engine(dir, store::Engine::Mode::kLook);
-      const store::Image image = engine.Load();
+      store::Engine engine(dir, store::Engine::OpenMode::kReadOnly);
+      const store::StateImage image = engine.Load();
       store::WriteSnapshot(image, file);
       std::printf("%s: %zu keys at revision %llu\n", file.c_str(), image.items.size(),
-                  static_cast<unsigned long long>(image.epoch));
+                  static_cast<unsigned long long>(image.revision));
     }
     if (*restore) {
       store::Restore(file, dir);
--- a/src/rehearsal/cloud.cpp
+++ b/src/rehearsal/cloud.cpp
@@ -108,7 +108,7 @@
 
 std::pair<int, std::string> Cloud::Handle(Micros now, const wire::Call& call) {
   if (down) return {503, R"({"error":"trouble"})"};
-  if (!rate_.Take(now, 1)) return {429, "{}"};
+  if (!rate_.TryAcquire(now, 1)) return {429, "{}"};
   if (call.target == "/flavors") {
     Writer w;
     w.Begin().Key("builds").BeginList();
--- a/src/rehearsal/cloud.h
+++ b/src/rehearsal/cloud.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "config/scenario.h"
-#include "store/limits.h"
+#include "store/rate_limiter.h"
 #include "wire/messages.h"
 
 namespace badgershore::rehearsal {
@@ -53,7 +53,7 @@
   const Scenario& scenario_;
   std::mt19937_64 random_;
   Hooks hooks_;
-  store::RateLimit rate_;
+  store::RateLimiter rate_;
   std::map<std::string, Machine> machines_;  // ever
   std::map<std::string, std::string> hires_;
   int next_ = 0;
--- a/src/rehearsal/nodes.cpp
+++ b/src/rehearsal/nodes.cpp
@@ -26,7 +26,7 @@
   options.cells = Cells();
   n.core = std::make_unique<Controller>(s, options);
   n.callers.clear();
-  n.rate = store::RateLimit(s.state_rps * 0.9 / static_cast<double>(nodes_.size()), now_);
+  n.rate = store::RateLimiter(s.state_rps * 0.9 / static_cast<double>(nodes_.size()), now_);
   Later(now_ + Between(0.001, 0.1), [this, index, life = n.life] { TickNode(index, life); });
 }
 
@@ -145,7 +145,7 @@
     const bool paced =
         op.kind != StateRequest::Kind::kRenewLease && op.kind != StateRequest::Kind::kGrantLease &&
         op.kind != StateRequest::Kind::kRevokeLease && op.kind != StateRequest::Kind::kWatch;
-    if (!paced || n.rate.Take(now_, 1)) {
+    if (!paced || n.rate.TryAcquire(now_, 1)) {
       NodeState(index, op);
       continue;
     }
@@ -155,7 +155,7 @@
                 weak = std::weak_ptr<std::function<void()>>(attempt)] {
       Node& node = nodes_[index];
       if (!node.core || node.life != life) return;
-      if (node.rate.Take(now_, 1)) return NodeState(index, op);
+      if (node.rate.TryAcquire(now_, 1)) return NodeState(index, op);
       if (now_ - start > Seconds(1)) {
         StateResponse r;
         r.outcome = StateResponse::Outcome::kRefused;
--- a/src/rehearsal/state.cpp
+++ b/src/rehearsal/state.cpp
@@ -12,7 +12,7 @@
   if (parsed.status != 0) return Respond(id, parsed.status, "{}");
   if (RefusedUntil(id) > now_) return Respond(id, 503, R"({"error":"not for you"})");
   if (state_down_) return Respond(id, 503, R"({"error":"outage"})");
-  const bool commit = std::holds_alternative<store::CommitRequest>(parsed.request);
+  const bool commit = std::holds_alternative<store::CompareAndSwapRequest>(parsed.request);
   const Micros late = commit ? distortions_.WriteDelay(&clock_) : Micros{};
   if (late.count > 0) {
     return Later(now_ + late, [this, request = parsed.request] {
@@ -36,15 +36,15 @@
 }
 
 void World::AskState(uint64_t id, const store::Request& request) {
-  const store::Token token = ++next_state_token_;
+  const store::RequestId token = ++next_state_token_;
   state_calls_[token] = {id, request};
-  state_->Ask(now_, token, request);
+  state_->Submit(now_, token, request);
   PumpState();
 }
 
 void World::PumpState() {
-  store::Machine::Effects out = state_->Take();
-  for (auto& [token, answer] : out.answers) {
+  store::StateMachine::Effects out = state_->TakeEffects();
+  for (auto& [token, answer] : out.responses) {
     auto it = state_calls_.find(token);
     if (it == state_calls_.end()) continue;
     wire::StoreAnswer a = wire::FormatStoreAnswer(it->second.second, answer);
@@ -62,8 +62,8 @@
     Later(now_ + Between(0.0005, 0.004), [this, life = state_life_] {
       if (life != state_life_ || !writing_) return;
       const uint64_t batch = std::exchange(writing_, std::nullopt)->id;
-      state_->OnWritten(now_, batch,
-                        disk_full_ ? store::Written::kAbsent : store::Written::kDurable);
+      state_->OnWriteCompleted(
+          now_, batch, disk_full_ ? store::WriteOutcome::kAbsent : store::WriteOutcome::kDurable);
       PumpState();
     });
   }
@@ -85,14 +85,14 @@
   limits.changes_per_s = scenario_.site.state_write_rps;
   limits.value_bytes = static_cast<size_t>(scenario_.site.state_value_kb * 1024);
   limits.commit_changes = static_cast<size_t>(scenario_.site.state_txn_ops);
-  state_ = std::make_unique<store::Machine>(limits, std::move(disk_), now_);
+  state_ = std::make_unique<store::StateMachine>(limits, std::move(disk_), now_);
   PumpState();
 }
 
 void World::RestartState(Micros span) {
   if (outside_) return outside_->RestartState(span);
   if (!state_) return;
-  disk_ = state_->image();
+  disk_ = state_->state();
   // What was being written may or may not have reached the disk.
   if (writing_ && Chance() < 0.5) store::Apply(*writing_, &disk_);
   writing_.reset();
--- a/src/rehearsal/troubles.cpp
+++ b/src/rehearsal/troubles.cpp
@@ -44,7 +44,7 @@
       state_down_ = true;
       return until([this] {
         state_down_ = false;
-        if (state_) state_->RenewLeases(now_);
+        if (state_) state_->RenewAllLeases(now_);
       });
     case Kind::kStateMute:
       mute_share_ = t.share;
--- a/src/rehearsal/world.cpp
+++ b/src/rehearsal/world.cpp
@@ -126,7 +126,7 @@
     if (t.kind == Trouble::Kind::kRestore && here) {
       // The copy that comes back is from halfway to there.
       Later(now_ + t.at.Scaled(0.5), [this] {
-        if (state_) old_disk_ = state_->image();
+        if (state_) old_disk_ = state_->state();
       });
     }
     if (here || everywhere) Later(now_ + t.at, [this, t] { Strike(t); });
--- a/src/rehearsal/world.h
+++ b/src/rehearsal/world.h
@@ -14,7 +14,7 @@
 #include "rehearsal/waiting.h"
 #include "rehearsal/work.h"
 #include "site/core/balance.h"
-#include "store/machine.h"
+#include "store/state_machine.h"
 
 namespace badgershore::rehearsal {
 
@@ -185,7 +185,7 @@
   struct Node {
     std::unique_ptr<Controller> core;
     int life = 0;
-    store::RateLimit rate{0, {}};
+    store::RateLimiter rate{0, {}};
     std::map<RequestId, uint64_t> callers;  // token -> call
     RequestId next_token = 0;
     Micros frozen_until;   // stands still, while its clock goes on
@@ -225,13 +225,13 @@
   std::vector<Cut> cuts_;
   std::vector<Node> nodes_{3};
 
-  std::unique_ptr<store::Machine> state_;
-  store::Image disk_, old_disk_;  // old: a snapshot that an operator kept
+  std::unique_ptr<store::StateMachine> state_;
+  store::StateImage disk_, old_disk_;  // old: a snapshot that an operator kept
   std::optional<store::Batch> writing_;
   int state_life_ = 0;
   Micros state_armed_ = kNever;
-  std::map<store::Token, std::pair<uint64_t, store::Request>> state_calls_;
-  store::Token next_state_token_ = 0;
+  std::map<store::RequestId, std::pair<uint64_t, store::Request>> state_calls_;
+  store::RequestId next_state_token_ = 0;
   bool state_down_ = false, disk_full_ = false;
   double mute_share_ = 0, late_share_ = 0;
   Distortions distortions_;
--- a/src/replication/service/codec.cpp
+++ b/src/replication/service/codec.cpp
@@ -18,20 +18,20 @@
 
 namespace store {
 template <class A>
-void serialize(A& a, Item& i) {
-  a(i.value, i.stamp, i.lease);
+void serialize(A& a, VersionedValue& i) {
+  a(i.value, i.version, i.lease);
 }
 template <class A>
-void serialize(A& a, LogRow& r) {
-  a(r.stamp, r.key, r.value);
+void serialize(A& a, ChangeLogEntry& r) {
+  a(r.revision, r.key, r.value);
 }
 template <class A>
 void serialize(A& a, Batch& b) {
-  a(b.id, b.epoch, b.last_lease, b.compacted, b.items, b.leases, b.log);
+  a(b.id, b.revision, b.last_lease_id, b.compacted_revision, b.items, b.leases, b.change_log);
 }
 template <class A>
-void serialize(A& a, Image& i) {
-  a(i.epoch, i.last_lease, i.compacted, i.items, i.leases, i.log);
+void serialize(A& a, StateImage& i) {
+  a(i.revision, i.last_lease_id, i.compacted_revision, i.items, i.leases, i.change_log);
 }
 }  // namespace store
 
@@ -110,12 +110,12 @@
 }
 
 std::string Encode(const Message& message) { return Pack(message); }
-std::string Encode(const store::Image& image) { return Pack(image); }
+std::string Encode(const store::StateImage& image) { return Pack(image); }
 std::string Encode(const Stored& stored) { return Pack(stored); }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) { return Unpack<Message>(bytes); }
-std::optional<store::Image> DecodeImage(std::string_view bytes) {
-  return Unpack<store::Image>(bytes);
+std::optional<store::StateImage> DecodeImage(std::string_view bytes) {
+  return Unpack<store::StateImage>(bytes);
 }
 std::optional<Stored> DecodeStored(std::string_view bytes) { return Unpack<Stored>(bytes); }
 
--- a/src/replication/service/codec.h
+++ b/src/replication/service/codec.h
@@ -11,12 +11,12 @@
 namespace badgershore::replication {
 
 std::string Encode(const Message& message);
-std::string Encode(const store::Image& image);
+std::string Encode(const store::StateImage& image);
 std::string Encode(const Stored& stored);
 
 // Nothing where the bytes are of another form or cut short.
 std::optional<Message> DecodeMessage(std::string_view bytes);
-std::optional<store::Image> DecodeImage(std::string_view bytes);
+std::optional<store::StateImage> DecodeImage(std::string_view bytes);
 std::optional<Stored> DecodeStored(std::string_view bytes);
 
 }  // namespace badgershore::replication
--- a/src/replication/service/service.cpp
+++ b/src/replication/service/service.cpp
@@ -37,13 +37,13 @@
 
 // An empty directory is one whose disk was lost, or a new replica's: it asks for the state.
 Stored StoredOf(store::Engine* engine) {
-  const std::string note = engine->LoadNote();
+  const std::string note = engine->LoadOwnerMetadata();
   if (!note.empty()) {
     const std::optional<Stored> stored = DecodeStored(note);
     if (!stored) throw store::DiskError("the replica's record is of a form that is not known here");
     return *stored;
   }
-  if (engine->Load().epoch == 0) return {};
+  if (engine->Load().revision == 0) return {};
   throw store::DiskError(
       "the directory holds a state that is no replica's: run init on every replica's copy first");
 }
@@ -130,7 +130,7 @@
     for (const Position& position : out.committed) {
       if (!machine_ || !proposed_ || proposed_->position != position) continue;
       const uint64_t batch = std::exchange(proposed_, std::nullopt)->batch;
-      machine_->OnWritten(io::Loop::Now(), batch, store::Written::kDurable);
+      machine_->OnWriteCompleted(io::Loop::Now(), batch, store::WriteOutcome::kDurable);
     }
   }
   flushing_ = false;
@@ -138,8 +138,8 @@
 
 void ReplicatedService::FlushMachine() {
   if (!machine_) return;
-  store::Machine::Effects out = machine_->Take();
-  for (auto& [token, answer] : out.answers) {
+  store::StateMachine::Effects out = machine_->TakeEffects();
+  for (auto& [token, answer] : out.responses) {
     const auto slot = slots_.find(token);
     if (slot != slots_.end()) slot->second->Set(std::move(answer));
   }
@@ -165,22 +165,22 @@
     after.history = image->history;
   }
   disk_.Post([this, write, note = Encode(after)]() -> std::function<void()> {
-    store::Written written = store::Written::kAbsent;
+    store::WriteOutcome written = store::WriteOutcome::kAbsent;
     if (const auto* entry = std::get_if<StoreEntry>(&write)) {
       const auto& batch = entry->entry.batch;
-      written = engine_->WriteWithNote(batch ? &*batch : nullptr, note);
+      written = engine_->WriteWithOwnerMetadata(batch ? &*batch : nullptr, note);
     } else if (const auto* image = std::get_if<StoreImage>(&write)) {
       const auto state = DecodeImage(image->bytes);
       if (state) written = engine_->Replace(*state, note);
     } else {
-      written = engine_->WriteWithNote(nullptr, note);
+      written = engine_->WriteWithOwnerMetadata(nullptr, note);
     }
     // What can't be found out must not be guessed: nothing else is done until it is known.
-    while (written == store::Written::kUnknown) {
+    while (written == store::WriteOutcome::kUnknown) {
       std::this_thread::sleep_for(std::chrono::milliseconds(500));
-      written = engine_->Settle();
+      written = engine_->ResolveUnknownWrite();
     }
-    return [this, ok = written == store::Written::kDurable] {
+    return [this, ok = written == store::WriteOutcome::kDurable] {
       if (!ok) spdlog::error("the disk takes no changes");
       replica_.OnStored(io::Loop::Now(), ok);
       Flush();
@@ -191,7 +191,7 @@
 // Behind all writes so far, so the state and the note's position belong together.
 void ReplicatedService::LoadImage() {
   disk_.Post([this]() -> std::function<void()> {
-    const auto stored = DecodeStored(engine_->LoadNote());
+    const auto stored = DecodeStored(engine_->LoadOwnerMetadata());
     std::string bytes = Encode(engine_->Load());
     return [this, position = stored ? stored->position : Position{}, bytes = std::move(bytes)] {
       replica_.OnImage(io::Loop::Now(), position, bytes);
@@ -212,7 +212,7 @@
   if (!leads || machine_ || loading_term_ == replica_.term()) return;
   loading_term_ = replica_.term();
   disk_.Post([this, term = loading_term_]() -> std::function<void()> {
-    auto image = std::make_shared<store::Image>(engine_->Load());
+    auto image = std::make_shared<store::StateImage>(engine_->Load());
     return [this, term, image] {
       StartMachine(term, std::move(*image));
       Flush();
@@ -220,10 +220,11 @@
   });
 }
 
-void ReplicatedService::StartMachine(uint64_t term, store::Image image) {
+void ReplicatedService::StartMachine(uint64_t term, store::StateImage image) {
   if (!replica_.ready() || replica_.term() != term) return;
-  spdlog::info("serves in term {}: {} keys at revision {}", term, image.items.size(), image.epoch);
-  machine_ = std::make_unique<store::Machine>(limits_, std::move(image), io::Loop::Now());
+  spdlog::info("serves in term {}: {} keys at revision {}", term, image.items.size(),
+               image.revision);
+  machine_ = std::make_unique<store::StateMachine>(limits_, std::move(image), io::Loop::Now());
   machine_term_ = term;
 }
 
@@ -271,16 +272,16 @@
   if (call.status != 0) {
     co_return http::ServerAnswer{call.status, "{\"error\":\"" + call.error + "\"}", 0};
   }
-  const store::Token token = ++next_token_;
-  io::Slot<std::optional<store::Answer>> slot(loop_);
+  const store::RequestId token = ++next_token_;
+  io::Slot<std::optional<store::Response>> slot(loop_);
   slots_[token] = &slot;
-  machine_->Ask(io::Loop::Now(), token, call.request);
+  machine_->Submit(io::Loop::Now(), token, call.request);
   Flush();
-  const std::optional<std::optional<store::Answer>> answer = co_await slot.Wait(kNever);
+  const std::optional<std::optional<store::Response>> answer = co_await slot.Wait(kNever);
   slots_.erase(token);
   const bool answered = answer && *answer;
   const bool refused = answered && ((*answer)->outcome == store::Outcome::kRefused ||
-                                    (*answer)->outcome == store::Outcome::kLimited ||
+                                    (*answer)->outcome == store::Outcome::kRateLimited ||
                                     (*answer)->outcome == store::Outcome::kInvalid);
   // What was read or decided here may be old once another replica can lead.
   if (!answered || (!refused && !Serves())) co_return store::ToHttp(call.request, std::nullopt);
--- a/src/replication/service/service.h
+++ b/src/replication/service/service.h
@@ -18,7 +18,7 @@
 #include "replication/core/replica.h"
 #include "replication/service/replica_set.h"
 #include "store/disk/engine.h"
-#include "store/machine.h"
+#include "store/state_machine.h"
 
 namespace badgershore::replication {
 
@@ -55,7 +55,7 @@
   void StoreOnDisk(const Write& write);
   void LoadImage();
   void FollowRole();
-  void StartMachine(uint64_t term, store::Image image);
+  void StartMachine(uint64_t term, store::StateImage image);
   void DropMachine();
   bool Serves() const;
 
@@ -67,12 +67,12 @@
   Replica replica_;
   std::map<std::string, Peer> peers_;
   // While it leads and has read its state.
-  std::unique_ptr<store::Machine> machine_;
+  std::unique_ptr<store::StateMachine> machine_;
   uint64_t machine_term_ = 0, loading_term_ = 0;
   std::optional<store::Batch> waiting_batch_;
   std::optional<Proposed> proposed_;
-  std::unordered_map<store::Token, io::Slot<std::optional<store::Answer>>*> slots_;
-  store::Token next_token_ = 0;
+  std::unordered_map<store::RequestId, io::Slot<std::optional<store::Response>>*> slots_;
+  store::RequestId next_token_ = 0;
   bool flushing_ = false;
   Replica::Role logged_role_ = Replica::Role::kFollower;
   http::Server clients_, messages_;
--- a/src/store/disk/archive.cpp
+++ b/src/store/disk/archive.cpp
@@ -153,7 +153,7 @@
   if (!found.empty()) fail(found.begin()->first, "not in " + kSums);
 }
 
-void WriteSnapshot(const Image& image, const std::string& file) {
+void WriteSnapshot(const StateImage& image, const std::string& file) {
   ArchiveWriter out(file);
   out.Add(kHead, wire::FormatHeadLine(image) + "\n");
   std::string piece;
@@ -168,13 +168,13 @@
   };
   for (const auto& [key, item] : image.items) line(wire::FormatItemLine(key, item));
   for (const auto& [id, life] : image.leases) line(wire::FormatLeaseLine(id, life));
-  for (const LogRow& row : image.log) line(wire::FormatChangeLine(row));
+  for (const ChangeLogEntry& row : image.change_log) line(wire::FormatChangeLine(row));
   if (!piece.empty()) out.Add("records/last.jsonl", piece);
   out.Finish();
 }
 
-Image ReadSnapshot(const std::string& file) {
-  Image image;
+StateImage ReadSnapshot(const std::string& file) {
+  StateImage image;
   bool head = false;
   ReadArchive(file, [&](const std::string& name, const std::string& bytes) {
     head = head || name == kHead;
@@ -193,15 +193,15 @@
 
 void Restore(const std::string& file, const std::string& dir) {
   if (!Engine::IsEmptyOrAbsent(dir)) throw DiskError(dir + ": not empty; nothing was restored");
-  const Image image = ReadSnapshot(file);
+  const StateImage image = ReadSnapshot(file);
   // Filled beside and then renamed, so that a restore cut short leaves nothing that looks whole.
   std::string beside = dir;
   while (beside.size() > 1 && beside.back() == '/') beside.pop_back();
   beside += ".restoring";
   std::filesystem::remove_all(beside);
   {
-    Engine engine(beside, Engine::Mode::kOwn);
-    engine.Fill(image);
+    Engine engine(beside, Engine::OpenMode::kReadWrite);
+    engine.Initialize(image);
   }
   std::error_code error;
   std::filesystem::remove(dir, error);  // an empty one
--- a/src/store/disk/archive.h
+++ b/src/store/disk/archive.h
@@ -37,8 +37,8 @@
 
 // A snapshot of an image, and back. Restoring needs an empty or absent directory and leaves it so
 // unless all of the snapshot was good.
-void WriteSnapshot(const Image& image, const std::string& file);
-Image ReadSnapshot(const std::string& file);
+void WriteSnapshot(const StateImage& image, const std::string& file);
+StateImage ReadSnapshot(const std::string& file);
 void Restore(const std::string& file, const std::string& dir);
 
 }  // namespace badgershore::store
--- a/src/store/disk/engine.cpp
+++ b/src/store/disk/engine.cpp
@@ -19,7 +19,7 @@
 #include <sstream>
 #include <streambuf>
 
-#include "store/disk/logcheck.h"
+#include "store/disk/log_check.h"
 
 namespace badgershore::store {
 namespace {
@@ -137,8 +137,8 @@
 }
 
 void Put(rocksdb::WriteBatch* out, const MetaRow& meta) { out->Put(kMeta, Pack(meta)); }
-void PutItem(rocksdb::WriteBatch* out, const std::string& key, const Item& item) {
-  out->Put("k" + key, Pack(ItemRow{item.stamp, item.lease, item.value}));
+void PutItem(rocksdb::WriteBatch* out, const std::string& key, const VersionedValue& item) {
+  out->Put("k" + key, Pack(ItemRow{item.version, item.lease, item.value}));
 }
 std::string ChangesKey(uint64_t last_stamp) { return "c" + BigEndian(last_stamp); }
 template <typename Rows>
@@ -146,10 +146,10 @@
   if (rows.empty()) return;
   ChangesRow all;
   all.changes.reserve(rows.size());
-  for (const LogRow& row : rows) {
-    all.changes.push_back({row.stamp, row.key, row.value.value_or(""), !row.value.has_value()});
+  for (const ChangeLogEntry& row : rows) {
+    all.changes.push_back({row.revision, row.key, row.value.value_or(""), !row.value.has_value()});
   }
-  out->Put(ChangesKey(rows.back().stamp), Pack(all));
+  out->Put(ChangesKey(rows.back().revision), Pack(all));
 }
 
 uint64_t AskFreeBytes(const std::string& dir) {
@@ -165,7 +165,7 @@
   return !fs::exists(dir, error) || (fs::is_directory(dir, error) && fs::is_empty(dir, error));
 }
 
-Engine::Engine(std::string dir, Mode mode, EngineOptions options)
+Engine::Engine(std::string dir, OpenMode mode, EngineOptions options)
     : dir_(std::move(dir)), mode_(mode), options_(std::move(options)) {
   if (!options_.free_bytes) options_.free_bytes = AskFreeBytes;
   Open();
@@ -207,7 +207,7 @@
       throw DiskError(where + ": damaged; restore a snapshot");
     }
     // A manifest's torn end names nothing that was answered, and an owner may be just writing.
-    if (mode_ == Mode::kLook || manifest_file) continue;
+    if (mode_ == OpenMode::kReadOnly || manifest_file) continue;
     notes_.push_back(where + ": a torn end of " +
                      std::to_string(fs::file_size(path) - check.good_bytes) + " bytes was cut");
     const int fd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
@@ -221,10 +221,10 @@
 void Engine::Open() {
   db_.reset();
   const bool fresh = IsEmptyOrAbsent(dir_);
-  if (mode_ == Mode::kLook && fresh) throw DiskError(dir_ + ": no state here");
+  if (mode_ == OpenMode::kReadOnly && fresh) throw DiskError(dir_ + ": no state here");
   std::error_code error;
   fs::create_directories(dir_, error);
-  if (!fresh && !fs::exists(fs::path(dir_) / "CURRENT") && mode_ == Mode::kOwn) {
+  if (!fresh && !fs::exists(fs::path(dir_) / "CURRENT") && mode_ == OpenMode::kReadWrite) {
     // Another's files are left alone; but a first start that was cut short leaves some of ours.
     const auto ours = [](const fs::path& p) {
       const std::string name = p.filename().string();
@@ -237,19 +237,19 @@
   }
   rocksdb::Options o;
   if (options_.env) o.env = options_.env;
-  o.create_if_missing = mode_ == Mode::kOwn;
+  o.create_if_missing = mode_ == OpenMode::kReadWrite;
   o.paranoid_checks = true;
-  o.wal_recovery_mode = mode_ == Mode::kOwn
+  o.wal_recovery_mode = mode_ == OpenMode::kReadWrite
                             ? rocksdb::WALRecoveryMode::kAbsoluteConsistency
                             : rocksdb::WALRecoveryMode::kTolerateCorruptedTailRecords;
-  o.track_and_verify_wals_in_manifest = mode_ == Mode::kOwn;
+  o.track_and_verify_wals_in_manifest = mode_ == OpenMode::kReadWrite;
   o.max_background_jobs = 2;
   o.write_buffer_size = 16 << 20;
   // Nothing is read while it serves: new rows are only kept in the order of their coming, and
   // sorted when they go to a table.
   o.memtable_factory = std::make_shared<rocksdb::VectorRepFactory>();
   o.allow_concurrent_memtable_write = false;
-  o.max_open_files = mode_ == Mode::kLook ? -1 : 256;
+  o.max_open_files = mode_ == OpenMode::kReadOnly ? -1 : 256;
   o.keep_log_file_num = 3;
   o.info_log_level = rocksdb::InfoLogLevel::WARN_LEVEL;
   o.compression = rocksdb::kNoCompression;
@@ -259,7 +259,7 @@
   o.table_factory.reset(rocksdb::NewBlockBasedTableFactory(table));
   rocksdb::DB* db = nullptr;
   rocksdb::Status s;
-  if (mode_ == Mode::kLook) {
+  if (mode_ == OpenMode::kReadOnly) {
     // The owner may drop a file between our listing and our opening it: look again.
     for (int round = 0; round < 20; ++round) {
       s = rocksdb::DB::OpenForReadOnly(o, dir_, &db);
@@ -310,8 +310,8 @@
   }
 }
 
-Image Engine::Load() {
-  Image image;
+StateImage Engine::Load() {
+  StateImage image;
   rocksdb::ReadOptions read;
   read.verify_checksums = true;
   read.fill_cache = false;
@@ -323,15 +323,15 @@
     switch (key[0]) {
       case 'c':
         for (ChangeRow& row : Unpack<ChangesRow>(key, value).changes) {
-          LogRow change{row.stamp, std::move(row.key), std::nullopt};
+          ChangeLogEntry change{row.stamp, std::move(row.key), std::nullopt};
           if (!row.deleted) change.value = std::move(row.value);
-          image.log.push_back(std::move(change));
+          image.change_log.push_back(std::move(change));
         }
         break;
       case 'k': {
         ItemRow row = Unpack<ItemRow>(key, value);
         image.items.emplace_hint(image.items.end(), std::string(rest),
-                                 Item{std::move(row.value), row.stamp, row.lease});
+                                 VersionedValue{std::move(row.value), row.stamp, row.lease});
         break;
       }
       case 'l':
@@ -339,9 +339,9 @@
         break;
       case 'm': {
         const MetaRow row = Unpack<MetaRow>(key, value);
-        image.epoch = row.epoch;
-        image.last_lease = row.last_lease;
-        image.compacted = row.compacted;
+        image.revision = row.epoch;
+        image.last_lease_id = row.last_lease;
+        image.compacted_revision = row.compacted;
         meta = true;
         break;
       }
@@ -352,12 +352,13 @@
     }
   }
   if (!it->status().ok()) throw DiskError(dir_ + ": " + OneLine(it->status().ToString()));
-  if (!meta && (!image.items.empty() || !image.log.empty())) {
+  if (!meta && (!image.items.empty() || !image.change_log.empty())) {
     throw DiskError(dir_ + ": the revision's record is missing");
   }
   // The revision's record comes after the changes; what it has forgotten goes now.
-  while (!image.log.empty() && image.log.front().stamp <= image.compacted) image.log.pop_front();
-  trimmed_ = image.compacted;
+  while (!image.change_log.empty() && image.change_log.front().revision <= image.compacted_revision)
+    image.change_log.pop_front();
+  trimmed_ = image.compacted_revision;
   return image;
 }
 
@@ -378,38 +379,40 @@
       out->Delete("l" + BigEndian(id));
     }
   }
-  PutLog(out, batch.log);
+  PutLog(out, batch.change_log);
 }
 
 }  // namespace
 
-Written Engine::Commit(rocksdb::WriteBatch* out) {
+WriteOutcome Engine::Commit(rocksdb::WriteBatch* out) {
   rocksdb::WriteOptions sync;
   sync.sync = true;
-  if (!db_->Write(sync, out).ok()) return Settle();
+  if (!db_->Write(sync, out).ok()) return ResolveUnknownWrite();
   writes_ = expected_;
-  return Written::kDurable;
+  return WriteOutcome::kDurable;
 }
 
-Written Engine::Write(const Batch& batch) { return WriteWithNote(&batch, ""); }
+WriteOutcome Engine::Write(const Batch& batch) { return WriteWithOwnerMetadata(&batch, ""); }
 
-Written Engine::WriteWithNote(const Batch* batch, const std::string& note) {
+WriteOutcome Engine::WriteWithOwnerMetadata(const Batch* batch, const std::string& note) {
   if (!db_) {
-    return Settle() == Written::kUnknown ? Written::kUnknown : WriteWithNote(batch, note);
+    return ResolveUnknownWrite() == WriteOutcome::kUnknown ? WriteOutcome::kUnknown
+                                                           : WriteWithOwnerMetadata(batch, note);
   }
-  if (options_.free_bytes(dir_) < options_.reserve_bytes) return Written::kAbsent;
+  if (options_.free_bytes(dir_) < options_.reserve_bytes) return WriteOutcome::kAbsent;
   rocksdb::WriteBatch out;
   expected_ = writes_ + 1;
-  const MetaRow meta = batch ? MetaRow{batch->epoch, batch->last_lease, batch->compacted, expected_}
-                             : MetaRow{epoch_, last_lease_, compacted_, expected_};
+  const MetaRow meta =
+      batch ? MetaRow{batch->revision, batch->last_lease_id, batch->compacted_revision, expected_}
+            : MetaRow{epoch_, last_lease_, compacted_, expected_};
   Put(&out, meta);
   if (batch) PutBatch(&out, *batch);
   if (!note.empty()) out.Put(kNote, note);
   // Dropping old rows by range costs later reads something, so it is done seldom.
-  const bool trim = meta.compacted > trimmed_ + kKeptChanges / 4;
+  const bool trim = meta.compacted > trimmed_ + kMinChangeLogEntries / 4;
   if (trim) out.DeleteRange("c", ChangesKey(meta.compacted + 1));
-  const Written written = Commit(&out);
-  if (written != Written::kDurable) return written;
+  const WriteOutcome written = Commit(&out);
+  if (written != WriteOutcome::kDurable) return written;
   epoch_ = meta.epoch;
   last_lease_ = meta.last_lease;
   compacted_ = meta.compacted;
@@ -417,9 +420,9 @@
   return written;
 }
 
-Written Engine::Replace(const Image& image, const std::string& note) {
-  if (!db_ && Settle() == Written::kUnknown) return Written::kUnknown;
-  if (options_.free_bytes(dir_) < options_.reserve_bytes) return Written::kAbsent;
+WriteOutcome Engine::Replace(const StateImage& image, const std::string& note) {
+  if (!db_ && ResolveUnknownWrite() == WriteOutcome::kUnknown) return WriteOutcome::kUnknown;
+  if (options_.free_bytes(dir_) < options_.reserve_bytes) return WriteOutcome::kAbsent;
   rocksdb::WriteBatch out;
   expected_ = writes_ + 1;
   out.DeleteRange("c", "m");  // changes, items and leases
@@ -427,18 +430,18 @@
   for (const auto& [id, life] : image.leases) {
     out.Put("l" + BigEndian(id), Pack(LeaseRow{life.count}));
   }
-  PutLog(&out, image.log);
-  Put(&out, MetaRow{image.epoch, image.last_lease, image.compacted, expected_});
+  PutLog(&out, image.change_log);
+  Put(&out, MetaRow{image.revision, image.last_lease_id, image.compacted_revision, expected_});
   out.Put(kNote, note);
-  const Written written = Commit(&out);
-  if (written != Written::kDurable) return written;
-  epoch_ = image.epoch;
-  last_lease_ = image.last_lease;
-  compacted_ = trimmed_ = image.compacted;
+  const WriteOutcome written = Commit(&out);
+  if (written != WriteOutcome::kDurable) return written;
+  epoch_ = image.revision;
+  last_lease_ = image.last_lease_id;
+  compacted_ = trimmed_ = image.compacted_revision;
   return written;
 }
 
-std::string Engine::LoadNote() {
+std::string Engine::LoadOwnerMetadata() {
   std::string note;
   if (!db_) return note;
   rocksdb::ReadOptions read;
@@ -450,18 +453,18 @@
 
 // A failed write may be on the disk all the same. Opening the database again writes what its logs
 // hold to new, synced files, so after that what is seen is what is durable.
-Written Engine::Settle() {
+WriteOutcome Engine::ResolveUnknownWrite() {
   try {
     notes_.clear();
     Open();
   } catch (const DiskError&) {
     db_.reset();
-    return Written::kUnknown;
+    return WriteOutcome::kUnknown;
   }
-  return writes_ == expected_ ? Written::kDurable : Written::kAbsent;
+  return writes_ == expected_ ? WriteOutcome::kDurable : WriteOutcome::kAbsent;
 }
 
-void Engine::Fill(const Image& image) {
+void Engine::Initialize(const StateImage& image) {
   rocksdb::WriteBatch out;
   const auto flush = [&](bool last) {
     if (!last && out.GetDataSize() < 4 << 20) return;
@@ -479,20 +482,21 @@
     out.Put("l" + BigEndian(id), Pack(LeaseRow{life.count}));
   }
   // In pieces that end with a revision, as batches do.
-  std::vector<LogRow> piece;
-  for (size_t i = 0; i < image.log.size(); ++i) {
-    piece.push_back(image.log[i]);
-    const bool whole = i + 1 == image.log.size() || image.log[i + 1].stamp != image.log[i].stamp;
-    if (!whole || (piece.size() < 256 && i + 1 < image.log.size())) continue;
+  std::vector<ChangeLogEntry> piece;
+  for (size_t i = 0; i < image.change_log.size(); ++i) {
+    piece.push_back(image.change_log[i]);
+    const bool whole = i + 1 == image.change_log.size() ||
+                       image.change_log[i + 1].revision != image.change_log[i].revision;
+    if (!whole || (piece.size() < 256 && i + 1 < image.change_log.size())) continue;
     PutLog(&out, piece);
     piece.clear();
     flush(false);
   }
-  Put(&out, MetaRow{image.epoch, image.last_lease, image.compacted, ++writes_});
+  Put(&out, MetaRow{image.revision, image.last_lease_id, image.compacted_revision, ++writes_});
   flush(true);
-  epoch_ = image.epoch;
-  last_lease_ = image.last_lease;
-  compacted_ = image.compacted;
+  epoch_ = image.revision;
+  last_lease_ = image.last_lease_id;
+  compacted_ = image.compacted_revision;
 }
 
 }  // namespace badgershore::store
--- a/src/store/disk/engine.h
+++ b/src/store/disk/engine.h
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-#include "store/machine.h"
+#include "store/state_machine.h"
 
 namespace rocksdb {
 class DB;
@@ -40,40 +40,40 @@
 
 class Engine {
  public:
-  enum class Mode {
-    kOwn,   // the only one to write; a second owner is refused
-    kLook,  // reads beside an owner: a consistent image of some moment
+  enum class OpenMode {
+    kReadWrite,  // the only one to write; a second owner is refused
+    kReadOnly,   // reads beside an owner: a consistent image of some moment
   };
-  Engine(std::string dir, Mode mode, EngineOptions options = {});
+  Engine(std::string dir, OpenMode mode, EngineOptions options = {});
   ~Engine();
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
   // Whole, with every checksum verified.
-  Image Load();
+  StateImage Load();
   // kUnknown: the disk fails so that not even that can be found out; Settle tries again.
-  Written Write(const Batch& batch);
+  WriteOutcome Write(const Batch& batch);
   // The same with a note of the owner's, in one durable write; without a batch the note alone.
-  Written WriteWithNote(const Batch* batch, const std::string& note);
+  WriteOutcome WriteWithOwnerMetadata(const Batch* batch, const std::string& note);
   // All that was there gives way to this image and this note, in one durable write.
-  Written Replace(const Image& image, const std::string& note);
-  std::string LoadNote();  // empty: none was ever written
+  WriteOutcome Replace(const StateImage& image, const std::string& note);
+  std::string LoadOwnerMetadata();  // empty: none was ever written
   // After kUnknown: what became of that batch, or kUnknown still.
-  Written Settle();
+  WriteOutcome ResolveUnknownWrite();
   // Fills an empty directory from an image; durable when it returns.
-  void Fill(const Image& image);
+  void Initialize(const StateImage& image);
 
   // What opening had to say: a torn end that was cut.
-  const std::vector<std::string>& notes() const { return notes_; }
+  const std::vector<std::string>& recovery_warnings() const { return notes_; }
   static bool IsEmptyOrAbsent(const std::string& dir);
 
  private:
   void Open();
   void CheckLogs();
-  Written Commit(rocksdb::WriteBatch* out);
+  WriteOutcome Commit(rocksdb::WriteBatch* out);
 
   std::string dir_;
-  Mode mode_;
+  OpenMode mode_;
   EngineOptions options_;
   std::unique_ptr<rocksdb::DB> db_;
   std::vector<std::string> notes_;
--- a/src/store/disk/logcheck.cpp
+++ b/src/store/disk/log_check.cpp
@@ -1,4 +1,4 @@
-#include "store/disk/logcheck.h"
+#include "store/disk/log_check.h"
 
 #include <boost/crc.hpp>
 #include <cstring>
--- a/src/store/model.h
+++ b/src/store/model.h
@@ -14,21 +14,21 @@
 
 namespace badgershore::store {
 
-constexpr size_t kMostKeyBytes = 200;
-constexpr size_t kKeptChanges = 10000;
+constexpr size_t kMaxKeyBytes = 200;
+constexpr size_t kMinChangeLogEntries = 10000;
 
-struct Item {
-  std::string value;   // JSON, as it was put
-  uint64_t stamp = 0;  // the revision of its latest change
-  uint64_t lease = 0;  // 0: none
-  bool operator==(const Item&) const = default;
+struct VersionedValue {
+  std::string value;     // JSON, as it was put
+  uint64_t version = 0;  // the revision of its latest change
+  uint64_t lease = 0;    // 0: none
+  bool operator==(const VersionedValue&) const = default;
 };
 
-struct LogRow {
-  uint64_t stamp = 0;
+struct ChangeLogEntry {
+  uint64_t revision = 0;
   std::string key;
   std::optional<std::string> value;  // none: deleted
-  bool operator==(const LogRow&) const = default;
+  bool operator==(const ChangeLogEntry&) const = default;
 };
 
 // 0: no limit. Rates allow bursts of one second's worth.
@@ -41,34 +41,34 @@
 };
 
 // Everything that lasts.
-struct Image {
-  uint64_t epoch = 0;
-  uint64_t last_lease = 0;
-  uint64_t compacted = 0;  // the log holds every change after this revision
-  std::map<std::string, Item> items;
+struct StateImage {
+  uint64_t revision = 0;
+  uint64_t last_lease_id = 0;
+  uint64_t compacted_revision = 0;  // the log holds every change after this revision
+  std::map<std::string, VersionedValue> items;
   std::map<uint64_t, Micros> leases;  // id -> time to live
-  std::deque<LogRow> log;
-  bool operator==(const Image&) const = default;
+  std::deque<ChangeLogEntry> change_log;
+  bool operator==(const StateImage&) const = default;
 };
 
 // What one durable write changes: all of it or nothing.
 struct Batch {
   uint64_t id = 0;
-  uint64_t epoch = 0;
-  uint64_t last_lease = 0;
-  uint64_t compacted = 0;
-  std::map<std::string, std::optional<Item>> items;  // none: deleted
-  std::map<uint64_t, std::optional<Micros>> leases;  // none: ended
-  std::vector<LogRow> log;
+  uint64_t revision = 0;
+  uint64_t last_lease_id = 0;
+  uint64_t compacted_revision = 0;
+  std::map<std::string, std::optional<VersionedValue>> items;  // none: deleted
+  std::map<uint64_t, std::optional<Micros>> leases;            // none: ended
+  std::vector<ChangeLogEntry> change_log;
 
-  bool empty() const { return items.empty() && leases.empty() && log.empty(); }
+  bool empty() const { return items.empty() && leases.empty() && change_log.empty(); }
 };
 
 // Puts a durable batch into the image. The log keeps at least the latest kKeptChanges rows.
-void Apply(const Batch& batch, Image* image);
+void Apply(const Batch& batch, StateImage* image);
 
 inline bool ValidKey(std::string_view key) {
-  if (key.empty() || key.size() > kMostKeyBytes) return false;
+  if (key.empty() || key.size() > kMaxKeyBytes) return false;
   for (char c : key) {
     if (static_cast<unsigned char>(c) <= ' ' || c == 0x7f) return false;
   }
--- a/src/store/limits.h
+++ b/src/store/rate_limiter.h
@@ -7,14 +7,14 @@
 
 namespace badgershore::store {
 
-class RateLimit {
+class RateLimiter {
  public:
   // per_s 0: everything passes.
-  RateLimit(double per_s, Micros now) : per_s_(per_s), left_(per_s), at_(now) {}
+  RateLimiter(double per_s, Micros now) : per_s_(per_s), left_(per_s), at_(now) {}
 
   // Takes `n` if they are left. More than a second's worth at once passes when the burst is
   // whole, or it never could.
-  bool Take(Micros now, double n) {
+  bool TryAcquire(Micros now, double n) {
     if (per_s_ <= 0) return true;
     left_ = std::min(per_s_, left_ + per_s_ * (now - at_).ToSeconds());
     at_ = now;
--- a/src/store/requests.h
+++ b/src/store/requests.h
@@ -12,62 +12,62 @@
 struct GetRequest {
   std::string key;
 };
-struct RangeRequest {
+struct ListRequest {
   std::string prefix;
-  std::string after;
+  std::string start_after;
   size_t limit = 1000;
 };
-struct CommitRequest {
-  struct Guard {
+struct CompareAndSwapRequest {
+  struct Precondition {
     std::string key;
-    uint64_t stamp = 0;  // 0: the key does not exist
+    uint64_t version = 0;  // 0: the key does not exist
   };
-  struct Change {
+  struct Mutation {
     std::string key;
     std::optional<std::string> value;  // none: delete
     uint64_t lease = 0;
   };
-  std::vector<Guard> guards;
-  std::vector<Change> changes;
+  std::vector<Precondition> preconditions;
+  std::vector<Mutation> mutations;
   size_t bytes = 0;  // of the whole request
 };
-struct GrantRequest {
-  Micros life;  // 100 ms to 600 s
+struct GrantLeaseRequest {
+  Micros time_to_live;  // 100 ms to 600 s
 };
-struct TouchRequest {
+struct RenewLeaseRequest {
   uint64_t lease = 0;
 };
-struct ReleaseRequest {
+struct RevokeLeaseRequest {
   uint64_t lease = 0;
 };
 struct WatchRequest {
   std::string prefix;
-  uint64_t since = 0;
+  uint64_t since_revision = 0;
   Micros wait;  // at most 60 s
 };
-using Request = std::variant<GetRequest, RangeRequest, CommitRequest, GrantRequest, TouchRequest,
-                             ReleaseRequest, WatchRequest>;
+using Request = std::variant<GetRequest, ListRequest, CompareAndSwapRequest, GrantLeaseRequest,
+                             RenewLeaseRequest, RevokeLeaseRequest, WatchRequest>;
 
 enum class Outcome {
   kOk,
-  kMissing,    // 404
-  kConflict,   // 409
-  kInvalid,    // 400
-  kCompacted,  // 410
-  kLimited,    // 429
-  kRefused,    // 503: surely not carried out
-  kUnknown,    // no answer: may have been carried out, or may be yet
+  kNotFound,     // 404
+  kConflict,     // 409
+  kInvalid,      // 400
+  kCompacted,    // 410
+  kRateLimited,  // 429
+  kRefused,      // 503: surely not carried out
+  kUnknown,      // no answer: may have been carried out, or may be yet
 };
 
-struct Answer {
+struct Response {
   Outcome outcome = Outcome::kRefused;
   std::string error;
-  uint64_t epoch = 0;
+  uint64_t revision = 0;
   uint64_t lease = 0;
-  bool truncated = false;
-  std::vector<std::pair<std::string, Item>> items;
-  std::vector<std::string> failed;
-  std::vector<LogRow> log;
+  bool has_more = false;
+  std::vector<std::pair<std::string, VersionedValue>> entries;
+  std::vector<std::string> failed_keys;
+  std::vector<ChangeLogEntry> changes;
 };
 
 }  // namespace badgershore::store
--- a/src/store/service/service.cpp
+++ b/src/store/service/service.cpp
@@ -39,17 +39,17 @@
     if (!next_) return;
     const Batch batch = *std::exchange(next_, std::nullopt);
     lock.unlock();
-    Written written = engine_->Write(batch);
+    WriteOutcome written = engine_->Write(batch);
     const auto tell = [&] {
       mailbox_->Post([this, id = batch.id, written] { on_written_(id, written); });
     };
     tell();
-    while (written == Written::kUnknown) {
+    while (written == WriteOutcome::kUnknown) {
       lock.lock();
       if (changed_.wait_for(lock, kSettleEvery, [&] { return ending_; })) return;
       lock.unlock();
-      written = engine_->Settle();
-      if (written != Written::kUnknown) tell();
+      written = engine_->ResolveUnknownWrite();
+      if (written != WriteOutcome::kUnknown) tell();
     }
   }
 }
@@ -60,8 +60,8 @@
       machine_(limits, engine->Load(), io::Loop::Now()),
       server_(
           loop, [this](http::Message m) { return Handle(std::move(m)); }, max_connections),
-      disk_(engine, &mailbox_, [this](uint64_t batch, Written written) {
-        machine_.OnWritten(io::Loop::Now(), batch, written);
+      disk_(engine, &mailbox_, [this](uint64_t batch, WriteOutcome written) {
+        machine_.OnWriteCompleted(io::Loop::Now(), batch, written);
         Flush();
       }) {}
 
@@ -85,14 +85,14 @@
 }
 
 void Service::Flush() {
-  Machine::Effects out = machine_.Take();
-  for (auto& [token, answer] : out.answers) {
+  StateMachine::Effects out = machine_.TakeEffects();
+  for (auto& [token, answer] : out.responses) {
     auto it = slots_.find(token);
     if (it != slots_.end()) it->second->Set(std::move(answer));
   }
   if (out.write) disk_.Write(std::move(*out.write));
-  if (machine_.stalled() != stalled_) {
-    stalled_ = machine_.stalled();
+  if (machine_.writes_blocked() != stalled_) {
+    stalled_ = machine_.writes_blocked();
     if (stalled_) {
       spdlog::error("the disk is full or fails: changes are refused until it takes them again");
     } else {
@@ -102,7 +102,7 @@
   if (timer_ && machine_.NextDeadline() < timer_at_) timer_->Set(true);
 }
 
-http::ServerAnswer ToHttp(const Request& request, const std::optional<Answer>& answer) {
+http::ServerAnswer ToHttp(const Request& request, const std::optional<Response>& answer) {
   http::ServerAnswer reply;
   if (!answer) {
     reply.hang_up = true;
@@ -121,12 +121,12 @@
   if (call.status != 0) {
     co_return http::ServerAnswer{call.status, "{\"error\":\"" + call.error + "\"}", 0};
   }
-  const Token token = ++next_token_;
-  io::Slot<Answer> slot(loop_);
+  const RequestId token = ++next_token_;
+  io::Slot<Response> slot(loop_);
   slots_[token] = &slot;
-  machine_.Ask(io::Loop::Now(), token, call.request);
+  machine_.Submit(io::Loop::Now(), token, call.request);
   Flush();
-  std::optional<Answer> answer = co_await slot.Wait(kNever);
+  std::optional<Response> answer = co_await slot.Wait(kNever);
   slots_.erase(token);
   co_return ToHttp(call.request, answer);
 }
--- a/src/store/service/service.h
+++ b/src/store/service/service.h
@@ -12,7 +12,7 @@
 #include "http/server.h"
 #include "io/mailbox.h"
 #include "store/disk/engine.h"
-#include "store/machine.h"
+#include "store/state_machine.h"
 
 namespace badgershore::store {
 
@@ -20,7 +20,7 @@
 // first answer was kUnknown.
 class DiskThread {
  public:
-  using OnWritten = std::function<void(uint64_t batch, Written written)>;
+  using OnWritten = std::function<void(uint64_t batch, WriteOutcome written)>;
   DiskThread(Engine* engine, io::Mailbox* mailbox, OnWritten on_written);
   ~DiskThread();
   void Write(Batch batch);
@@ -38,14 +38,14 @@
 };
 
 // A client's answer in its HTTP form; none: the connection is closed without one.
-http::ServerAnswer ToHttp(const Request& request, const std::optional<Answer>& answer);
+http::ServerAnswer ToHttp(const Request& request, const std::optional<Response>& answer);
 
 class Service {
  public:
   Service(io::Loop* loop, Engine* engine, Limits limits, size_t max_connections = 4096);
   bool Start(const std::string& addr, std::string* error);
   std::string address() const { return server_.address(); }
-  const Machine& machine() const { return machine_; }
+  const StateMachine& machine() const { return machine_; }
 
  private:
   io::Task<http::ServerAnswer> Handle(http::Message request);
@@ -54,9 +54,9 @@
 
   io::Loop* loop_;
   io::Mailbox mailbox_;
-  Machine machine_;
-  std::unordered_map<Token, io::Slot<Answer>*> slots_;
-  Token next_token_ = 0;
+  StateMachine machine_;
+  std::unordered_map<RequestId, io::Slot<Response>*> slots_;
+  RequestId next_token_ = 0;
   bool stalled_ = false;
   Micros timer_at_ = kNever;
   io::Slot<bool>* timer_ = nullptr;
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -113,24 +113,24 @@
 StoreCall ParseCommitCall(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseStrict(body, &doc)) return Refuse(400, "expected a JSON object");
-  store::CommitRequest out;
+  store::CompareAndSwapRequest out;
   out.bytes = body.size();
   if (const Value* guards = Find(doc, "guards")) {
     if (!guards->IsArray()) return Refuse(400, "guards: expected a list");
     for (const Value& g : guards->GetArray()) {
-      store::CommitRequest::Guard guard;
+      store::CompareAndSwapRequest::Precondition guard;
       guard.key = Text(g, "path");
       if (!store::ValidKey(guard.key) || !Find(g, "stamp") ||
-          !ReadWhole(g, "stamp", &guard.stamp)) {
+          !ReadWhole(g, "stamp", &guard.version)) {
         return Refuse(400, "guards: expected a path and a stamp");
       }
-      out.guards.push_back(std::move(guard));
+      out.preconditions.push_back(std::move(guard));
     }
   }
   if (const Value* then = Find(doc, "then")) {
     if (!then->IsArray()) return Refuse(400, "then: expected a list");
     for (const Value& c : then->GetArray()) {
-      store::CommitRequest::Change change;
+      store::CompareAndSwapRequest::Mutation change;
       const bool erase = Find(c, "delete") != nullptr;
       if (!c.IsObject() || erase == (Find(c, "put") != nullptr)) {
         return Refuse(400, "then: expected a put or a delete");
@@ -145,14 +145,14 @@
           return Refuse(400, "tenancy: expected a whole number");
         }
       }
-      out.changes.push_back(std::move(change));
+      out.mutations.push_back(std::move(change));
     }
   }
   return {0, "", std::move(out)};
 }
 
-void PutItem(Writer* w, const std::string& key, const store::Item& item) {
-  w->Put("path", key).Key("value").RawText(item.value).Put("stamp", item.stamp);
+void PutItem(Writer* w, const std::string& key, const store::VersionedValue& item) {
+  w->Put("path", key).Key("value").RawText(item.value).Put("stamp", item.version);
   if (item.lease != 0) w->Put("tenancy", item.lease);
 }
 
@@ -166,33 +166,33 @@
   return w.Begin().Put("error", text).End().Done();
 }
 
-std::string Body(const store::Request& request, const store::Answer& a) {
+std::string Body(const store::Request& request, const store::Response& a) {
   Writer w;
   w.Begin();
   if (std::holds_alternative<store::GetRequest>(request)) {
-    PutItem(&w, a.items.at(0).first, a.items.at(0).second);
-  } else if (std::holds_alternative<store::RangeRequest>(request)) {
+    PutItem(&w, a.entries.at(0).first, a.entries.at(0).second);
+  } else if (std::holds_alternative<store::ListRequest>(request)) {
     w.Key("entries").BeginList();
-    for (const auto& [key, item] : a.items) {
+    for (const auto& [key, item] : a.entries) {
       w.Begin();
       PutItem(&w, key, item);
       w.End();
     }
-    w.EndList().Put("truncated", a.truncated).Put("epoch", a.epoch);
+    w.EndList().Put("truncated", a.has_more).Put("epoch", a.revision);
   } else if (std::holds_alternative<store::WatchRequest>(request)) {
-    w.Put("epoch", a.epoch).Key("log").BeginList();
-    for (const store::LogRow& row : a.log) {
+    w.Put("epoch", a.revision).Key("log").BeginList();
+    for (const store::ChangeLogEntry& row : a.changes) {
       w.Begin();
       if (row.value) {
         w.Put("put", row.key).Key("value").RawText(*row.value);
       } else {
         w.Put("delete", row.key);
       }
-      w.Put("stamp", row.stamp).End();
+      w.Put("stamp", row.revision).End();
     }
     w.EndList();
-  } else if (std::holds_alternative<store::CommitRequest>(request)) {
-    w.Put("epoch", a.epoch);
+  } else if (std::holds_alternative<store::CompareAndSwapRequest>(request)) {
+    w.Put("epoch", a.revision);
   } else {
     w.Put("tenancy", a.lease);
   }
@@ -211,7 +211,7 @@
   }
   if (path == "/store") {
     if (!get) return Refuse(405, "GET only");
-    return {0, "", store::RangeRequest{query.starts, query.since, query.limit}};
+    return {0, "", store::ListRequest{query.starts, query.since, query.limit}};
   }
   if (store::HasPrefix(path, "/store/")) {
     if (!get) return Refuse(405, "GET only");
@@ -224,7 +224,7 @@
   if (path == "/changes") {
     if (!get) return Refuse(405, "GET only");
     store::WatchRequest r{query.starts, 0, {}};
-    if (!Whole(query.since, &r.since)) return Refuse(400, "since: expected a revision");
+    if (!Whole(query.since, &r.since_revision)) return Refuse(400, "since: expected a revision");
     r.wait = Millis(static_cast<int64_t>(std::min<uint64_t>(query.wait_ms, 60000)));
     return {0, "", std::move(r)};
   }
@@ -239,7 +239,7 @@
     if (!ParseStrict(body, &doc) || !ReadWhole(doc, "lifeMs", &ms) || ms > 600000) {
       return Refuse(400, "lifeMs: expected 100 to 600000");
     }
-    return {0, "", store::GrantRequest{Millis(static_cast<int64_t>(ms))}};
+    return {0, "", store::GrantLeaseRequest{Millis(static_cast<int64_t>(ms))}};
   }
   if (store::HasPrefix(path, "/grants/")) {
     std::string_view id = path.substr(8);
@@ -247,30 +247,30 @@
     if (touch) id.remove_suffix(6);
     uint64_t lease = 0;
     if (!Whole(id, &lease)) return Refuse(404, "no such lease");
-    if (touch && post) return {0, "", store::TouchRequest{lease}};
-    if (!touch && method == "DELETE") return {0, "", store::ReleaseRequest{lease}};
+    if (touch && post) return {0, "", store::RenewLeaseRequest{lease}};
+    if (!touch && method == "DELETE") return {0, "", store::RevokeLeaseRequest{lease}};
     return Refuse(405, "not so");
   }
   return Refuse(404, "no such path");
 }
 
-StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Answer& a) {
+StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Response& a) {
   switch (a.outcome) {
     case Outcome::kOk:
       return {200, Body(request, a)};
-    case Outcome::kMissing:
-      return {404, Epoch(a.epoch)};
+    case Outcome::kNotFound:
+      return {404, Epoch(a.revision)};
     case Outcome::kConflict: {
       Writer w;
       w.Begin().Key("failed").BeginList();
-      for (const std::string& key : a.failed) w.Str(key);
-      return {409, w.EndList().Put("epoch", a.epoch).End().Done()};
+      for (const std::string& key : a.failed_keys) w.Str(key);
+      return {409, w.EndList().Put("epoch", a.revision).End().Done()};
     }
     case Outcome::kInvalid:
       return {400, Error(a.error)};
     case Outcome::kCompacted:
-      return {410, Epoch(a.epoch)};
-    case Outcome::kLimited:
+      return {410, Epoch(a.revision)};
+    case Outcome::kRateLimited:
       return {429, Error(a.error)};
     case Outcome::kRefused:
       return {503, Error(a.error)};
@@ -280,7 +280,7 @@
   return {0, ""};
 }
 
-std::string FormatItemLine(const std::string& key, const store::Item& item) {
+std::string FormatItemLine(const std::string& key, const store::VersionedValue& item) {
   Writer w;
   w.Begin();
   PutItem(&w, key, item);
@@ -292,20 +292,20 @@
   return w.Begin().Put("lease", id).Put("lifeUs", life.count).End().Done();
 }
 
-std::string FormatChangeLine(const store::LogRow& row) {
+std::string FormatChangeLine(const store::ChangeLogEntry& row) {
   Writer w;
   w.Begin().Put("change", row.key);
   if (row.value) w.Key("value").RawText(*row.value);
-  return w.Put("stamp", row.stamp).End().Done();
+  return w.Put("stamp", row.revision).End().Done();
 }
 
-std::string FormatHeadLine(const store::Image& image) {
+std::string FormatHeadLine(const store::StateImage& image) {
   Writer w;
-  w.Begin().Put("epoch", image.epoch).Put("lastLease", image.last_lease);
-  return w.Put("compacted", image.compacted).End().Done();
+  w.Begin().Put("epoch", image.revision).Put("lastLease", image.last_lease_id);
+  return w.Put("compacted", image.compacted_revision).End().Done();
 }
 
-bool ReadLine(std::string_view line, store::Image* image) {
+bool ReadLine(std::string_view line, store::StateImage* image) {
   rapidjson::Document doc;
   if (!ParseStrict(line, &doc)) return false;
   const auto value = doc.FindMember("value");
@@ -318,13 +318,13 @@
   } else if (Find(doc, "lease")) {
     image->leases[Count(doc, "lease")] = Micros{static_cast<int64_t>(Count(doc, "lifeUs"))};
   } else if (Find(doc, "change")) {
-    store::LogRow row{Count(doc, "stamp"), Text(doc, "change"), std::nullopt};
+    store::ChangeLogEntry row{Count(doc, "stamp"), Text(doc, "change"), std::nullopt};
     if (has_value) row.value = ToText(value->value);
-    image->log.push_back(std::move(row));
+    image->change_log.push_back(std::move(row));
   } else if (Find(doc, "epoch")) {
-    image->epoch = Count(doc, "epoch");
-    image->last_lease = Count(doc, "lastLease");
-    image->compacted = Count(doc, "compacted");
+    image->revision = Count(doc, "epoch");
+    image->last_lease_id = Count(doc, "lastLease");
+    image->compacted_revision = Count(doc, "compacted");
   } else {
     return false;
   }
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -22,14 +22,14 @@
   int status = 503;
   std::string body;
 };
-StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Answer& answer);
+StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Response& answer);
 
 // One JSON object a line, for dumps and snapshots.
-std::string FormatItemLine(const std::string& key, const store::Item& item);
+std::string FormatItemLine(const std::string& key, const store::VersionedValue& item);
 std::string FormatLeaseLine(uint64_t id, Micros life);
-std::string FormatChangeLine(const store::LogRow& row);
-std::string FormatHeadLine(const store::Image& image);
+std::string FormatChangeLine(const store::ChangeLogEntry& row);
+std::string FormatHeadLine(const store::StateImage& image);
 // Adds what a line says to the image; false where it makes no sense.
-bool ReadLine(std::string_view line, store::Image* image);
+bool ReadLine(std::string_view line, store::StateImage* image);
 
 }  // namespace badgershore::wire
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -256,33 +256,33 @@
 
 // ---- State service ----
 
-store::Image SnapshotContent() {
-  store::Image image;
-  image.epoch = 40;
-  image.last_lease = 3;
-  image.compacted = 10;
+store::StateImage SnapshotContent() {
+  store::StateImage image;
+  image.revision = 40;
+  image.last_lease_id = 3;
+  image.compacted_revision = 10;
   image.items["ctl/lead"] = {R"({"leader":"node-b","term":7})", 38, 3};
   image.items["job/job-1"] = {R"({"id":"job-1"})", 20, 0};
   image.leases[2] = Seconds(30);
   image.leases[3] = Seconds(5);
-  image.log.push_back({20, "job/job-1", R"({"id":"job-1"})"});
-  image.log.push_back({38, "ctl/lead", R"({"leader":"node-b","term":7})"});
-  image.log.push_back({38, "job/job-0", std::nullopt});
+  image.change_log.push_back({20, "job/job-1", R"({"id":"job-1"})"});
+  image.change_log.push_back({38, "ctl/lead", R"({"leader":"node-b","term":7})"});
+  image.change_log.push_back({38, "job/job-0", std::nullopt});
   return image;
 }
 
 store::Batch BatchAfterSnapshot() {
   store::Batch batch;
   batch.id = 3;
-  batch.epoch = 42;
-  batch.last_lease = 4;
-  batch.compacted = 10;
-  batch.items["job/job-2"] = store::Item{R"({"id":"job-2"})", 41, 0};
+  batch.revision = 42;
+  batch.last_lease_id = 4;
+  batch.compacted_revision = 10;
+  batch.items["job/job-2"] = store::VersionedValue{R"({"id":"job-2"})", 41, 0};
   batch.items["job/job-1"] = std::nullopt;
   batch.leases[4] = Seconds(60);
   batch.leases[2] = std::nullopt;
-  batch.log.push_back({41, "job/job-2", R"({"id":"job-2"})"});
-  batch.log.push_back({42, "job/job-1", std::nullopt});
+  batch.change_log.push_back({41, "job/job-2", R"({"id":"job-2"})"});
+  batch.change_log.push_back({42, "job/job-1", std::nullopt});
   return batch;
 }
 
@@ -295,13 +295,13 @@
       fs::path(testing::TempDir()) / ("compatibility-" + std::to_string(::getpid()));
   fs::remove_all(directory);
   fs::copy(FixturePath("data"), directory);
-  store::Image expected = SnapshotContent();
+  store::StateImage expected = SnapshotContent();
   store::Apply(BatchAfterSnapshot(), &expected);
   {
-    store::Engine engine(directory.string(), store::Engine::Mode::kOwn);
-    EXPECT_TRUE(engine.notes().empty());
+    store::Engine engine(directory.string(), store::Engine::OpenMode::kReadWrite);
+    EXPECT_TRUE(engine.recovery_warnings().empty());
     EXPECT_EQ(engine.Load(), expected);
-    EXPECT_EQ(engine.LoadNote(), "");
+    EXPECT_EQ(engine.LoadOwnerMetadata(), "");
   }
   fs::remove_all(directory);
 }
@@ -352,12 +352,12 @@
   expected.items["job/job-2"]->lease = 4;
   const store::Batch& batch = *append.entry->batch;
   EXPECT_EQ(batch.id, expected.id);
-  EXPECT_EQ(batch.epoch, expected.epoch);
-  EXPECT_EQ(batch.last_lease, expected.last_lease);
-  EXPECT_EQ(batch.compacted, expected.compacted);
+  EXPECT_EQ(batch.revision, expected.revision);
+  EXPECT_EQ(batch.last_lease_id, expected.last_lease_id);
+  EXPECT_EQ(batch.compacted_revision, expected.compacted_revision);
   EXPECT_EQ(batch.items, expected.items);
   EXPECT_EQ(batch.leases, expected.leases);
-  EXPECT_EQ(batch.log, expected.log);
+  EXPECT_EQ(batch.change_log, expected.change_log);
 
   const auto response = ReadReplicationMessage<replication::AppendAnswer>("append_response");
   EXPECT_EQ(response.term, 9u);
@@ -379,14 +379,14 @@
   const std::string bytes = ReplicationBytes("state_image");
   const auto image = replication::DecodeImage(bytes);
   ASSERT_TRUE(image);
-  store::Image expected;
-  expected.epoch = 40;
-  expected.last_lease = 3;
-  expected.compacted = 10;
+  store::StateImage expected;
+  expected.revision = 40;
+  expected.last_lease_id = 3;
+  expected.compacted_revision = 10;
   expected.items["ctl/lead"] = {R"({"leader":"node-b","term":7})", 38, 3};
   expected.leases[3] = Seconds(5);
-  expected.log.push_back({38, "ctl/lead", R"({"leader":"node-b","term":7})"});
-  expected.log.push_back({39, "job/job-0", std::nullopt});
+  expected.change_log.push_back({38, "ctl/lead", R"({"leader":"node-b","term":7})"});
+  expected.change_log.push_back({39, "job/job-0", std::nullopt});
   EXPECT_EQ(*image, expected);
   EXPECT_EQ(replication::Encode(*image), bytes);
 }
--- a/tests/store_disk_test.cpp
+++ b/tests/store_disk_test.cpp
@@ -101,20 +101,21 @@
 
 Batch Numbered(uint64_t n) {
   Batch b;
-  b.id = b.epoch = n;
-  b.last_lease = n;
+  b.id = b.revision = n;
+  b.last_lease_id = n;
   const std::string key = "k" + std::to_string(n % 7);
-  b.items[key] = Item{"\"" + std::string(n * 37 % 900, 'v') + std::to_string(n) + "\"", n, 0};
+  b.items[key] =
+      VersionedValue{"\"" + std::string(n * 37 % 900, 'v') + std::to_string(n) + "\"", n, 0};
   if (n % 5 == 0) b.items["k" + std::to_string((n + 1) % 7)] = std::nullopt;
   b.leases[n] = Seconds(5);
   if (n > 3) b.leases[n - 3] = std::nullopt;
   for (const auto& [k, item] : b.items) {
-    b.log.push_back({n, k, item ? std::optional<std::string>(item->value) : std::nullopt});
+    b.change_log.push_back({n, k, item ? std::optional<std::string>(item->value) : std::nullopt});
   }
   return b;
 }
-Image After(uint64_t n) {
-  Image image;
+StateImage After(uint64_t n) {
+  StateImage image;
   for (uint64_t i = 1; i <= n; ++i) Apply(Numbered(i), &image);
   return image;
 }
@@ -141,9 +142,9 @@
       auto env = rocksdb::NewCompositeEnv(std::make_shared<FaultFileSystem>(journal_));
       EngineOptions o = options_;
       o.env = env.get();
-      Engine engine(dir_, Engine::Mode::kOwn, o);
+      Engine engine(dir_, Engine::OpenMode::kReadWrite, o);
       for (uint64_t n = first; n <= last; ++n) {
-        if (engine.Write(Numbered(n)) != Written::kDurable) _exit(1);
+        if (engine.Write(Numbered(n)) != WriteOutcome::kDurable) _exit(1);
         journal_->answered = n;
       }
       _exit(0);
@@ -189,12 +190,12 @@
       journal_->end_at = step;
       WriteInChild(1, 12);
       if (power) LosePower(static_cast<unsigned>(step));
-      Engine engine(dir_, Engine::Mode::kOwn, options_);
-      const Image image = engine.Load();
-      ASSERT_GE(image.epoch, journal_->answered) << "ended at step " << step;
-      ASSERT_LE(image.epoch, journal_->answered + 1) << "ended at step " << step;
-      ASSERT_EQ(image, After(image.epoch)) << "ended at step " << step;
-      ASSERT_EQ(engine.Write(Numbered(image.epoch + 1)), Written::kDurable);
+      Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
+      const StateImage image = engine.Load();
+      ASSERT_GE(image.revision, journal_->answered) << "ended at step " << step;
+      ASSERT_LE(image.revision, journal_->answered + 1) << "ended at step " << step;
+      ASSERT_EQ(image, After(image.revision)) << "ended at step " << step;
+      ASSERT_EQ(engine.Write(Numbered(image.revision + 1)), WriteOutcome::kDurable);
     }
   }
 }
@@ -217,10 +218,10 @@
       if (zeros) fs::resize_file(log, whole.size());
       // Bytes that were zeros anyway are not torn by being zeros again.
       if (zeros && whole.find_first_not_of('\0', whole.size() - cut) == std::string::npos) continue;
-      Engine engine(dir_, Engine::Mode::kOwn, options_);
+      Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
       EXPECT_EQ(engine.Load(), After(11)) << cut;
-      ASSERT_EQ(engine.notes().size(), 1u) << cut;
-      EXPECT_NE(engine.notes()[0].find("a torn end"), std::string::npos);
+      ASSERT_EQ(engine.recovery_warnings().size(), 1u) << cut;
+      EXPECT_NE(engine.recovery_warnings()[0].find("a torn end"), std::string::npos);
     }
   }
 }
@@ -230,8 +231,9 @@
 TEST_F(Disk, AFlippedByteIsNeverPassedOverInSilence) {
   WriteInChild(1, 40);
   {  // so that there are table files too
-    Engine engine(dir_, Engine::Mode::kOwn, options_);
-    for (uint64_t n = 41; n <= 60; ++n) ASSERT_EQ(engine.Write(Numbered(n)), Written::kDurable);
+    Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
+    for (uint64_t n = 41; n <= 60; ++n)
+      ASSERT_EQ(engine.Write(Numbered(n)), WriteOutcome::kDurable);
   }
   const fs::path copy = root_ + "/copy";
   fs::copy(dir_, copy, fs::copy_options::recursive);
@@ -256,12 +258,12 @@
         out.put(byte);
       }
       try {
-        Engine engine(dir_, Engine::Mode::kOwn, options_);
-        const Image image = engine.Load();
+        Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
+        const StateImage image = engine.Load();
         if (image == After(60)) continue;  // a byte that nothing depends on
         // Only the very last record may go, as a torn end, and that is said.
         EXPECT_EQ(image, After(59)) << name << " byte " << at;
-        EXPECT_EQ(engine.notes().size(), 1u) << name << " byte " << at;
+        EXPECT_EQ(engine.recovery_warnings().size(), 1u) << name << " byte " << at;
         ++cut;
       } catch (const DiskError& e) {
         const std::string line = e.what();
@@ -285,18 +287,18 @@
       new (journal_) Journal;
       uint64_t n = 0;
       {
-        Engine engine(dir_, Engine::Mode::kOwn, options_);
-        for (; n < 3; ++n) ASSERT_EQ(engine.Write(Numbered(n + 1)), Written::kDurable);
+        Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
+        for (; n < 3; ++n) ASSERT_EQ(engine.Write(Numbered(n + 1)), WriteOutcome::kDurable);
         journal_->fail_from = journal_->operations + start;
         journal_->fail_until = journal_->fail_from + length;
         for (int round = 0; round < 200 && n < 20; ++round) {
-          Written written = engine.Write(Numbered(n + 1));
-          while (written == Written::kUnknown) written = engine.Settle();
-          if (written == Written::kDurable) ++n;
+          WriteOutcome written = engine.Write(Numbered(n + 1));
+          while (written == WriteOutcome::kUnknown) written = engine.ResolveUnknownWrite();
+          if (written == WriteOutcome::kDurable) ++n;
         }
         ASSERT_EQ(n, 20u);
       }
-      Engine again(dir_, Engine::Mode::kOwn, options_);
+      Engine again(dir_, Engine::OpenMode::kReadWrite, options_);
       ASSERT_EQ(again.Load(), After(20)) << start << " " << length;
     }
   }
@@ -306,30 +308,30 @@
   uint64_t free = 100;
   options_.reserve_bytes = 50;
   options_.free_bytes = [&](const std::string&) { return free; };
-  Engine engine(dir_, Engine::Mode::kOwn, options_);
-  EXPECT_EQ(engine.Write(Numbered(1)), Written::kDurable);
+  Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
+  EXPECT_EQ(engine.Write(Numbered(1)), WriteOutcome::kDurable);
   free = 10;
-  EXPECT_EQ(engine.Write(Numbered(2)), Written::kAbsent);
+  EXPECT_EQ(engine.Write(Numbered(2)), WriteOutcome::kAbsent);
   free = 100;
-  EXPECT_EQ(engine.Write(Numbered(2)), Written::kDurable);
+  EXPECT_EQ(engine.Write(Numbered(2)), WriteOutcome::kDurable);
   try {
-    Engine second(dir_, Engine::Mode::kOwn, options_);
+    Engine second(dir_, Engine::OpenMode::kReadWrite, options_);
     FAIL() << "a second owner";
   } catch (const DiskError& e) {
     EXPECT_EQ(std::string(e.what()), dir_ + ": in use by another process");
   }
-  Engine look(dir_, Engine::Mode::kLook, options_);
+  Engine look(dir_, Engine::OpenMode::kReadOnly, options_);
   EXPECT_EQ(look.Load(), After(2));
 }
 
 TEST_F(Disk, ASnapshotComesBackWholeOrNotAtAll) {
-  Engine engine(dir_, Engine::Mode::kOwn, options_);
-  for (uint64_t n = 1; n <= 30; ++n) ASSERT_EQ(engine.Write(Numbered(n)), Written::kDurable);
+  Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
+  for (uint64_t n = 1; n <= 30; ++n) ASSERT_EQ(engine.Write(Numbered(n)), WriteOutcome::kDurable);
   const std::string file = root_ + "/s.tar.zst", back = root_ + "/back";
-  WriteSnapshot(Engine(dir_, Engine::Mode::kLook, options_).Load(), file);
+  WriteSnapshot(Engine(dir_, Engine::OpenMode::kReadOnly, options_).Load(), file);
   EXPECT_THROW(Restore(file, dir_), DiskError);
   Restore(file, back);
-  EXPECT_EQ(Engine(back, Engine::Mode::kLook, options_).Load(), After(30));
+  EXPECT_EQ(Engine(back, Engine::OpenMode::kReadOnly, options_).Load(), After(30));
   const uint64_t size = fs::file_size(file);
   for (uint64_t at = 0; at < size; at += 13) {
     const std::string bad = root_ + "/bad.tar.zst", other = root_ + "/other";
@@ -342,7 +344,7 @@
     out.close();
     try {
       Restore(bad, other);
-      EXPECT_EQ(Engine(other, Engine::Mode::kLook, options_).Load(), After(30)) << at;
+      EXPECT_EQ(Engine(other, Engine::OpenMode::kReadOnly, options_).Load(), After(30)) << at;
       fs::remove_all(other);
     } catch (const DiskError&) {
       EXPECT_FALSE(fs::exists(other)) << at;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -5,7 +5,7 @@
 #include <map>
 #include <tuple>
 
-#include "store/machine.h"
+#include "store/state_machine.h"
 #include "wire/store_messages.h"
 
 namespace badgershore::store {
@@ -14,9 +14,9 @@
 // What PROTOCOL says, written as plainly as can be: no batches, no order kept, no indices.
 struct Model {
   uint64_t epoch = 0, last_lease = 0;
-  std::map<std::string, Item> items;
+  std::map<std::string, VersionedValue> items;
   std::map<uint64_t, std::pair<Micros, Micros>> leases;  // life and end
-  std::vector<LogRow> log;
+  std::vector<ChangeLogEntry> log;
 
   void Drop(uint64_t lease) {
     leases.erase(lease);
@@ -38,27 +38,28 @@
       Drop(first.second);
     }
   }
-  Answer Run(Micros now, const Request& request) {
-    Answer a;
+  Response Run(Micros now, const Request& request) {
+    Response a;
     a.outcome = Outcome::kOk;
-    if (const auto* c = std::get_if<CommitRequest>(&request)) {
-      for (const auto& change : c->changes) {
+    if (const auto* c = std::get_if<CompareAndSwapRequest>(&request)) {
+      for (const auto& change : c->mutations) {
         if (change.lease != 0 && !leases.contains(change.lease)) a.outcome = Outcome::kInvalid;
       }
       if (a.outcome == Outcome::kInvalid) return a;
-      for (const auto& g : c->guards) {
-        const uint64_t stamp = items.contains(g.key) ? items[g.key].stamp : 0;
-        if (stamp != g.stamp) a.failed.push_back(g.key);
+      for (const auto& g : c->preconditions) {
+        const uint64_t stamp = items.contains(g.key) ? items[g.key].version : 0;
+        if (stamp != g.version) a.failed_keys.push_back(g.key);
       }
-      if (!a.failed.empty()) {
+      if (!a.failed_keys.empty()) {
         a.outcome = Outcome::kConflict;
-        a.epoch = epoch;
+        a.revision = epoch;
         return a;
       }
       bool any = false;
-      for (const auto& change : c->changes) any = any || change.value || items.contains(change.key);
+      for (const auto& change : c->mutations)
+        any = any || change.value || items.contains(change.key);
       if (any) ++epoch;
-      for (const auto& change : c->changes) {
+      for (const auto& change : c->mutations) {
         if (change.value) {
           items[change.key] = {*change.value, epoch, change.lease};
           log.push_back({epoch, change.key, change.value});
@@ -66,21 +67,21 @@
           log.push_back({epoch, change.key, std::nullopt});
         }
       }
-      a.epoch = epoch;
-    } else if (const auto* g = std::get_if<GrantRequest>(&request)) {
+      a.revision = epoch;
+    } else if (const auto* g = std::get_if<GrantLeaseRequest>(&request)) {
       a.lease = ++last_lease;
-      leases[a.lease] = {g->life, now + g->life};
-    } else if (const auto* t = std::get_if<TouchRequest>(&request)) {
+      leases[a.lease] = {g->time_to_live, now + g->time_to_live};
+    } else if (const auto* t = std::get_if<RenewLeaseRequest>(&request)) {
       if (!leases.contains(t->lease)) {
-        a.outcome = Outcome::kMissing;
+        a.outcome = Outcome::kNotFound;
       } else {
         leases[t->lease].second = now + leases[t->lease].first;
       }
-    } else if (const auto* r = std::get_if<ReleaseRequest>(&request)) {
+    } else if (const auto* r = std::get_if<RevokeLeaseRequest>(&request)) {
       if (leases.contains(r->lease)) {
         Drop(r->lease);
       } else {
-        a.outcome = Outcome::kMissing;
+        a.outcome = Outcome::kNotFound;
       }
     }
     return a;
@@ -89,20 +90,20 @@
 
 using Op = std::tuple<uint8_t, uint8_t, uint8_t, uint8_t>;
 
-CommitRequest RandomCommit(const Op& op, const Model& model) {
+CompareAndSwapRequest RandomCommit(const Op& op, const Model& model) {
   const auto [kind, a, b, c] = op;
   const auto key = [](int n) { return "k/" + std::to_string(n % 5); };
-  CommitRequest r;
+  CompareAndSwapRequest r;
   if (a % 3 != 0) {
     const auto it = model.items.find(key(a));
-    const uint64_t right = it == model.items.end() ? 0 : it->second.stamp;
-    r.guards.push_back({key(a), a % 7 == 1 ? right + 1 : right});
+    const uint64_t right = it == model.items.end() ? 0 : it->second.version;
+    r.preconditions.push_back({key(a), a % 7 == 1 ? right + 1 : right});
   }
   for (int i = 0; i < b % 3; ++i) {
-    CommitRequest::Change change{key(c + i), std::nullopt, 0};
+    CompareAndSwapRequest::Mutation change{key(c + i), std::nullopt, 0};
     if ((c + i) % 4 != 0) change.value = std::to_string(c);
     if (change.value && b % 5 == 0) change.lease = c % 4;
-    r.changes.push_back(std::move(change));
+    r.mutations.push_back(std::move(change));
   }
   return r;
 }
@@ -110,35 +111,35 @@
 TEST(StoreMachine, AnswersAsAPlainModelDoes) {
   const bool held = rc::check("histories", [](const std::vector<Op>& ops) {
     Micros now = Seconds(1);
-    Machine machine({}, {}, now);
+    StateMachine machine({}, {}, now);
     Model model;
-    std::map<Token, Request> asked;
-    Token token = 0;
-    const auto compare = [&](Machine::Effects out) {
-      for (const auto& [t, got] : out.answers) {
+    std::map<RequestId, Request> asked;
+    RequestId token = 0;
+    const auto compare = [&](StateMachine::Effects out) {
+      for (const auto& [t, got] : out.responses) {
         const Request request = asked.at(t);
         if (got.outcome == Outcome::kRefused) continue;
-        const Answer want = model.Run(now, request);
+        const Response want = model.Run(now, request);
         RC_ASSERT(got.outcome == want.outcome);
-        RC_ASSERT(got.failed == want.failed);
+        RC_ASSERT(got.failed_keys == want.failed_keys);
         if (want.outcome == Outcome::kOk) RC_ASSERT(got.lease == want.lease || want.lease == 0);
-        if (std::holds_alternative<CommitRequest>(request) && want.epoch) {
-          RC_ASSERT(got.epoch == want.epoch);
+        if (std::holds_alternative<CompareAndSwapRequest>(request) && want.revision) {
+          RC_ASSERT(got.revision == want.revision);
         }
       }
     };
     std::optional<Batch> under_way;
     const auto take = [&] {
-      Machine::Effects out = machine.Take();
+      StateMachine::Effects out = machine.TakeEffects();
       if (out.write) under_way = std::move(out.write);
       compare(std::move(out));
     };
-    const auto write = [&](Written written) {
+    const auto write = [&](WriteOutcome written) {
       while (under_way) {
         const uint64_t id = std::exchange(under_way, std::nullopt)->id;
-        machine.OnWritten(now, id, written);
+        machine.OnWriteCompleted(now, id, written);
         take();
-        written = Written::kDurable;
+        written = WriteOutcome::kDurable;
       }
     };
     for (const Op& op : ops) {
@@ -146,27 +147,27 @@
       Request request;
       switch (kind % 8) {
         case 0:
-          request = GrantRequest{Millis(100 + a * 4)};
+          request = GrantLeaseRequest{Millis(100 + a * 4)};
           break;
         case 1:
-          request = TouchRequest{static_cast<uint64_t>(a % 4)};
+          request = RenewLeaseRequest{static_cast<uint64_t>(a % 4)};
           break;
         case 2:
-          request = ReleaseRequest{static_cast<uint64_t>(a % 4)};
+          request = RevokeLeaseRequest{static_cast<uint64_t>(a % 4)};
           break;
         case 3:
-          write(Written::kDurable);
+          write(WriteOutcome::kDurable);
           continue;
         case 4: {  // time passes, in steps that end leases one by one
-          write(Written::kDurable);
-          if (machine.stalled()) continue;
+          write(WriteOutcome::kDurable);
+          if (machine.writes_blocked()) continue;
           const Micros until = now + Millis(a);
           while (machine.NextDeadline() <= until) {
             now = std::max(now, machine.NextDeadline());
             model.Pass(now);
             machine.Tick(now);
             take();
-            write(Written::kDurable);
+            write(WriteOutcome::kDurable);
           }
           now = until;
           continue;
@@ -175,86 +176,86 @@
           request = RandomCommit(op, model);
       }
       asked[++token] = request;
-      machine.Ask(now, token, request);
+      machine.Submit(now, token, request);
       take();
     }
-    write(Written::kDurable);
-    RC_ASSERT(machine.image().items == model.items);
-    RC_ASSERT(machine.image().epoch == model.epoch);
+    write(WriteOutcome::kDurable);
+    RC_ASSERT(machine.state().items == model.items);
+    RC_ASSERT(machine.state().revision == model.epoch);
     // Every change since any revision, as a watch sees it.
     for (uint64_t since = 0; since <= model.epoch; ++since) {
-      machine.Ask(now, ++token, WatchRequest{"k/", since, {}});
-      std::vector<LogRow> want;
-      for (const LogRow& row : model.log) {
-        if (row.stamp > since) want.push_back(row);
+      machine.Submit(now, ++token, WatchRequest{"k/", since, {}});
+      std::vector<ChangeLogEntry> want;
+      for (const ChangeLogEntry& row : model.log) {
+        if (row.revision > since) want.push_back(row);
       }
-      RC_ASSERT(machine.Take().answers.at(0).second.log == want);
+      RC_ASSERT(machine.TakeEffects().responses.at(0).second.changes == want);
     }
     // A restart from what is durable is the same service.
-    Image image;
-    image = machine.image();
-    RC_ASSERT(Machine({}, image, now).image() == machine.image());
+    StateImage image;
+    image = machine.state();
+    RC_ASSERT(StateMachine({}, image, now).state() == machine.state());
   });
   EXPECT_TRUE(held);
 }
 
 class Told : public testing::Test {
  protected:
-  Answer Ask(Request r) {
-    machine.Ask(now, ++token, std::move(r));
+  Response Ask(Request r) {
+    machine.Submit(now, ++token, std::move(r));
     return Serve();
   }
   // Everything written is durable at once; the last answer.
-  Answer Serve(Written written = Written::kDurable) {
-    Answer last;
+  Response Serve(WriteOutcome written = WriteOutcome::kDurable) {
+    Response last;
     last.outcome = Outcome::kUnknown;
     for (;;) {
-      Machine::Effects out = machine.Take();
-      for (auto& [t, a] : out.answers) last = answers[t] = a;
+      StateMachine::Effects out = machine.TakeEffects();
+      for (auto& [t, a] : out.responses) last = answers[t] = a;
       if (!out.write) return last;
-      machine.OnWritten(now, out.write->id, written);
+      machine.OnWriteCompleted(now, out.write->id, written);
     }
   }
-  static CommitRequest Put(std::string key, std::string value, uint64_t lease = 0) {
-    CommitRequest r;
-    r.changes.push_back({std::move(key), std::move(value), lease});
+  static CompareAndSwapRequest Put(std::string key, std::string value, uint64_t lease = 0) {
+    CompareAndSwapRequest r;
+    r.mutations.push_back({std::move(key), std::move(value), lease});
     return r;
   }
   Micros now = Seconds(1);
-  Machine machine{Limits{}, Image{}, now};
-  Token token = 0;
-  std::map<Token, Answer> answers;
+  StateMachine machine{Limits{}, StateImage{}, now};
+  RequestId token = 0;
+  std::map<RequestId, Response> answers;
 };
 
 TEST_F(Told, AReadNeverSeesWhatIsNotDurable) {
-  machine.Ask(now, 1, Put("a", "1"));
-  const Batch batch = *machine.Take().write;
-  machine.Ask(now, 2, GetRequest{"a"});
-  EXPECT_EQ(machine.Take().answers.at(0).second.outcome, Outcome::kMissing);
+  machine.Submit(now, 1, Put("a", "1"));
+  const Batch batch = *machine.TakeEffects().write;
+  machine.Submit(now, 2, GetRequest{"a"});
+  EXPECT_EQ(machine.TakeEffects().responses.at(0).second.outcome, Outcome::kNotFound);
   // Guards are judged by what the batch under way will leave.
-  CommitRequest second = Put("a", "2");
-  second.guards.push_back({"a", 0});
-  machine.Ask(now, 3, second);
-  EXPECT_TRUE(machine.Take().answers.empty());
-  machine.OnWritten(now, batch.id, Written::kDurable);
-  const auto out = machine.Take();
-  ASSERT_EQ(out.answers.size(), 2u);
-  EXPECT_EQ(out.answers[0].second.outcome, Outcome::kOk);
-  EXPECT_EQ(out.answers[1].second.outcome, Outcome::kConflict);
+  CompareAndSwapRequest second = Put("a", "2");
+  second.preconditions.push_back({"a", 0});
+  machine.Submit(now, 3, second);
+  EXPECT_TRUE(machine.TakeEffects().responses.empty());
+  machine.OnWriteCompleted(now, batch.id, WriteOutcome::kDurable);
+  const auto out = machine.TakeEffects();
+  ASSERT_EQ(out.responses.size(), 2u);
+  EXPECT_EQ(out.responses[0].second.outcome, Outcome::kOk);
+  EXPECT_EQ(out.responses[1].second.outcome, Outcome::kConflict);
 }
 
 TEST_F(Told, AFullDiskRefusesChangesAndGoesOnWhenThereIsRoom) {
-  const uint64_t lease = Ask(GrantRequest{Seconds(1)}).lease;
+  const uint64_t lease = Ask(GrantLeaseRequest{Seconds(1)}).lease;
   Ask(Put("l", "1", lease));
-  machine.Ask(now, ++token, Put("a", "1"));
-  EXPECT_EQ(Serve(Written::kAbsent).outcome, Outcome::kRefused);
+  machine.Submit(now, ++token, Put("a", "1"));
+  EXPECT_EQ(Serve(WriteOutcome::kAbsent).outcome, Outcome::kRefused);
   EXPECT_EQ(Ask(Put("a", "2")).outcome, Outcome::kRefused);
   EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kOk);
   // The lease ran out meanwhile; an outage gives it its full time again.
   now += Seconds(5);
   machine.Tick(now);
-  Serve(Written::kDurable);
-  EXPECT_FALSE(machine.stalled());
+  Serve(WriteOutcome::kDurable);
+  EXPECT_FALSE(machine.writes_blocked());
   EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kOk);
   EXPECT_EQ(Ask(Put("a", "3")).outcome, Outcome::kOk);
   now += Millis(999);
@@ -264,40 +265,40 @@
   now += Millis(1);
   machine.Tick(now);
   Serve();
-  EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kMissing);
+  EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kNotFound);
 }
 
 TEST_F(Told, AnUnknownFateIsNotAnsweredAndIsSettledLater) {
-  machine.Ask(now, ++token, Put("a", "1"));
-  const Batch batch = *machine.Take().write;
-  machine.OnWritten(now, batch.id, Written::kUnknown);
-  EXPECT_EQ(machine.Take().answers.at(0).second.outcome, Outcome::kUnknown);
+  machine.Submit(now, ++token, Put("a", "1"));
+  const Batch batch = *machine.TakeEffects().write;
+  machine.OnWriteCompleted(now, batch.id, WriteOutcome::kUnknown);
+  EXPECT_EQ(machine.TakeEffects().responses.at(0).second.outcome, Outcome::kUnknown);
   EXPECT_EQ(Ask(Put("b", "1")).outcome, Outcome::kRefused);
-  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kMissing);
-  machine.OnWritten(now, batch.id, Written::kDurable);  // it was on the disk after all
+  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kNotFound);
+  machine.OnWriteCompleted(now, batch.id, WriteOutcome::kDurable);  // it was on the disk after all
   EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kOk);
   EXPECT_EQ(Ask(Put("b", "1")).outcome, Outcome::kOk);
 }
 
 TEST_F(Told, WatchesWaitAnswerAndAreToldOfWhatIsForgotten) {
   Ask(Put("a", "1"));
-  machine.Ask(now, 100, WatchRequest{"b", 1, Seconds(10)});
+  machine.Submit(now, 100, WatchRequest{"b", 1, Seconds(10)});
   Ask(Put("a", "2"));
   EXPECT_FALSE(answers.contains(100));
   Ask(Put("b", "3"));
   ASSERT_TRUE(answers.contains(100));
-  EXPECT_EQ(answers[100].log, (std::vector<LogRow>{{3, "b", "3"}}));
-  machine.Ask(now, 101, WatchRequest{"b", 3, Seconds(10)});
+  EXPECT_EQ(answers[100].changes, (std::vector<ChangeLogEntry>{{3, "b", "3"}}));
+  machine.Submit(now, 101, WatchRequest{"b", 3, Seconds(10)});
   now += Seconds(10);
   machine.Tick(now);
   Serve();
-  EXPECT_TRUE(answers[101].log.empty());
-  EXPECT_EQ(answers[101].epoch, 3u);
-  for (size_t i = 0; i < kKeptChanges; ++i) Ask(Put("c", "1"));
+  EXPECT_TRUE(answers[101].changes.empty());
+  EXPECT_EQ(answers[101].revision, 3u);
+  for (size_t i = 0; i < kMinChangeLogEntries; ++i) Ask(Put("c", "1"));
   EXPECT_EQ(Ask(WatchRequest{"", 2, {}}).outcome, Outcome::kCompacted);
-  EXPECT_EQ(Ask(WatchRequest{"", 3, {}}).log.size(), kKeptChanges);
+  EXPECT_EQ(Ask(WatchRequest{"", 3, {}}).changes.size(), kMinChangeLogEntries);
   // Of another history, as after a restored snapshot.
-  EXPECT_EQ(Ask(WatchRequest{"", machine.image().epoch + 1, {}}).outcome, Outcome::kCompacted);
+  EXPECT_EQ(Ask(WatchRequest{"", machine.state().revision + 1, {}}).outcome, Outcome::kCompacted);
 }
 
 TEST_F(Told, LimitsAreKeptAndBurstsAllowed) {
@@ -306,17 +307,17 @@
   limits.changes_per_s = 4;
   limits.value_bytes = 8;
   limits.commit_changes = 2;
-  machine = Machine(limits, {}, now);
+  machine = StateMachine(limits, {}, now);
   EXPECT_EQ(Ask(Put("a", "123456789")).outcome, Outcome::kInvalid);
-  CommitRequest three;
-  for (const char* k : {"a", "b", "c"}) three.changes.push_back({k, "1", 0});
+  CompareAndSwapRequest three;
+  for (const char* k : {"a", "b", "c"}) three.mutations.push_back({k, "1", 0});
   EXPECT_EQ(Ask(three).outcome, Outcome::kInvalid);
-  three.changes.pop_back();
+  three.mutations.pop_back();
   EXPECT_EQ(Ask(three).outcome, Outcome::kOk);
   EXPECT_EQ(Ask(three).outcome, Outcome::kOk);
-  EXPECT_EQ(Ask(three).outcome, Outcome::kLimited);
-  for (int i = 0; i < 7; ++i) EXPECT_NE(Ask(GetRequest{"a"}).outcome, Outcome::kLimited);
-  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kLimited);
+  EXPECT_EQ(Ask(three).outcome, Outcome::kRateLimited);
+  for (int i = 0; i < 7; ++i) EXPECT_NE(Ask(GetRequest{"a"}).outcome, Outcome::kRateLimited);
+  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kRateLimited);
   now += Seconds(1);
   EXPECT_EQ(Ask(three).outcome, Outcome::kOk);
 }
@@ -328,11 +329,11 @@
   size_t seen = 0;
   std::string after;
   for (int page = 0; page < 5; ++page) {
-    const Answer a = Ask(RangeRequest{"r/", after, 200});
-    seen += a.items.size();
-    EXPECT_LE(a.items.size(), 129u);  // 512 KiB
-    if (!a.truncated) break;
-    after = a.items.back().first;
+    const Response a = Ask(ListRequest{"r/", after, 200});
+    seen += a.entries.size();
+    EXPECT_LE(a.entries.size(), 129u);  // 512 KiB
+    if (!a.has_more) break;
+    after = a.entries.back().first;
   }
   EXPECT_EQ(seen, 300u);
 }
