--- /dev/null
+++ b/src/core/api/admission_control.cpp
@@ -0,0 +1,44 @@
+#include "core/api/admission_control.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kDecayTime = Seconds(10);
+constexpr Micros kLimitAssumedFor = Seconds(3);  // after a refusal
+constexpr double kNegligibleAttempts = 0.05;
+constexpr double kMargin = 1.2;            // of the teams' mean
+constexpr int kMaxRetryAfterSeconds = 10;  // users give up after a minute
+
+}  // namespace
+
+void AdmissionControl::Decay(Micros now) {
+  const double factor = std::exp(-(now - decayed_at_).ToSeconds() / kDecayTime.ToSeconds());
+  decayed_at_ = now;
+  for (auto it = attempts_.begin(); it != attempts_.end();) {
+    it->second *= factor;
+    it = it->second < kNegligibleAttempts ? attempts_.erase(it) : std::next(it);
+  }
+}
+
+int AdmissionControl::RetryAfterSeconds(Micros now, const std::string& team) {
+  Decay(now);
+  if (now - rate_limited_at_ < kLimitAssumedFor) {
+    double sum = 0;
+    for (const auto& [name, attempts] : attempts_) sum += attempts;
+    const size_t teams = attempts_.size() + (attempts_.contains(team) ? 0 : 1);
+    const double mean = sum / static_cast<double>(teams);
+    const double own = attempts_.contains(team) ? attempts_[team] : 0;
+    // A team alone is held to the state service's limit only.
+    if (teams > 1 && own > kMargin * mean) {
+      const double excess = own / std::max(mean, 1.0);
+      return std::clamp(static_cast<int>(std::ceil(excess)), 1, kMaxRetryAfterSeconds);
+    }
+  }
+  attempts_[team] += 1;
+  return 0;
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/api/job_api.cpp
@@ -0,0 +1,159 @@
+#include "core/api/job_api.h"
+
+#include <utility>
+
+namespace badgershore {
+namespace {
+
+StateRequest GetRequest(std::string key) {
+  StateRequest request;
+  request.kind = StateRequest::Kind::kGet;
+  request.key = std::move(key);
+  return request;
+}
+
+const JobEndRecord* FindEnd(const StateResponse& response) {
+  if (!response.ok() || response.entries.empty()) return nullptr;
+  return std::get_if<JobEndRecord>(&response.entries[0].value);
+}
+
+}  // namespace
+
+void JobApi::Answer(RequestId request_id, int status, const std::string& id, JobPhase phase,
+                    int done, int running) {
+  outbox_->effects.api_responses.push_back({request_id, status, id, phase, done, running, "", 0});
+}
+
+void JobApi::Refuse(RequestId request_id, int status, const std::string& id, std::string reason,
+                    int retry_after_s) {
+  ApiResponse response;
+  response.request_id = request_id;
+  response.status = status;
+  response.job = id;
+  response.reason = std::move(reason);
+  if (status == 503 || status == 429) response.retry_after_s = retry_after_s;
+  outbox_->effects.api_responses.push_back(std::move(response));
+}
+
+void JobApi::CacheEnd(const std::string& id, const JobEndRecord& end) {
+  if (!ends_.emplace(id, end).second) return;
+  ends_order_.push_back(id);
+  if (ends_order_.size() > kMaxCachedEnds) {
+    ends_.erase(ends_order_.front());
+    ends_order_.pop_front();
+  }
+}
+
+bool JobApi::AnswerEnded(RequestId request_id, const std::string& id) {
+  auto it = ends_.find(id);
+  if (it == ends_.end()) return false;
+  const JobEndRecord& end = it->second;
+  Answer(request_id, 200, id, end.cancelled ? JobPhase::kCancelled : JobPhase::kDone,
+         end.cancelled ? 0 : end.tasks);
+  return true;
+}
+
+void JobApi::AnswerLive(RequestId request_id, const std::string& id) {
+  const JobStatus status = callbacks_.live_status(id);
+  Answer(request_id, 200, id, status.running > 0 ? JobPhase::kRunning : JobPhase::kPending,
+         status.done, status.running);
+}
+
+void JobApi::ReadJob(RequestId request_id, const std::string& id, int missing_status,
+                     const std::string& reason, const OnLiveJob& on_live) {
+  if (AnswerEnded(request_id, id)) return;
+  outbox_->SendState(GetRequest(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
+    if (job.ok()) return on_live(now, job);
+    if (job.outcome != StateResponse::Outcome::kNotFound) {
+      return Refuse(request_id, 503, id, "the state service can't be read");
+    }
+    // The end is read second: a job's record is deleted in the transaction that writes its end.
+    ReadEnd(request_id, id, missing_status, reason);
+  });
+}
+
+void JobApi::ReadEnd(RequestId request_id, const std::string& id, int missing_status,
+                     const std::string& reason) {
+  outbox_->SendState(GetRequest(keys::kJobEnd + id), [=, this](Micros, StateResponse& response) {
+    if (response.outcome == StateResponse::Outcome::kNotFound) {
+      return Refuse(request_id, missing_status, id, reason);
+    }
+    const JobEndRecord* end = FindEnd(response);
+    if (!end) return Refuse(request_id, 503, id, "the state service can't be read");
+    CacheEnd(id, *end);
+    AnswerEnded(request_id, id);
+  });
+}
+
+void JobApi::Submit(Micros now, RequestId request_id, Submission submission) {
+  const std::string id = submission.id;
+  if (id.empty()) return Refuse(request_id, 400, id, submission.reason);
+  const auto on_live = [=, this](Micros, const StateResponse&) { AnswerLive(request_id, id); };
+  // An accepted id is reported by its record whatever its description would be answered today:
+  // answering 400 would deny an accepted job. Where the record can't be read the user retries.
+  if (!submission.spec) return ReadJob(request_id, id, 400, submission.reason, on_live);
+  if (!callbacks_.types_known()) {
+    return ReadJob(request_id, id, 503, "the machine types are not known yet", on_live);
+  }
+  const std::string infeasible = callbacks_.infeasible_reason(*submission.spec);
+  if (!infeasible.empty()) return ReadJob(request_id, id, 422, infeasible, on_live);
+  if (AnswerEnded(request_id, id)) return;
+  const int retry_after_s = admission_control_.RetryAfterSeconds(now, submission.spec->team);
+  if (retry_after_s > 0) {
+    return Refuse(request_id, 429, id, "more jobs come than can be recorded", retry_after_s);
+  }
+  RecordSubmission(request_id, id, *submission.spec, on_live);
+}
+
+void JobApi::RecordSubmission(RequestId request_id, const std::string& id, const JobSpec& spec,
+                              const OnLiveJob& on_live) {
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kJob + id, 0}, {keys::kJobEnd + id, 0}};
+  commit.mutations = {{keys::kJob + id, false, spec, 0}};
+  outbox_->SendState(commit, [=, this](Micros now, StateResponse& response) {
+    if (response.ok()) return Answer(request_id, 201, id, JobPhase::kPending);
+    if (response.rate_limited) admission_control_.OnRateLimited(now);
+    if (response.outcome == StateResponse::Outcome::kConflict) {
+      return ReadJob(request_id, id, 503, "the job's record is changing", on_live);
+    }
+    // Not recorded, or perhaps recorded: the user retries and learns which.
+    Refuse(request_id, 503, id, "the job can't be recorded now");
+  });
+}
+
+void JobApi::Query(RequestId request_id, const std::string& id) {
+  ReadJob(request_id, id, 404, "no such job",
+          [=, this](Micros, const StateResponse&) { AnswerLive(request_id, id); });
+}
+
+void JobApi::Cancel(RequestId request_id, const std::string& id, int attempts) {
+  ReadJob(request_id, id, 404, "no such job", [=, this](Micros now, const StateResponse& job) {
+    // Announced before it is recorded, so that the leader starts none of its tasks once the user
+    // has been answered.
+    callbacks_.on_cancellation_pending(now, id);
+    RecordCancellation(request_id, id, job.entries[0].version, attempts);
+  });
+}
+
+void JobApi::RecordCancellation(RequestId request_id, const std::string& id, uint64_t job_version,
+                                int attempts) {
+  const JobEndRecord end{true, 0};
+  StateRequest commit;
+  commit.kind = StateRequest::Kind::kCompareAndSwap;
+  commit.preconditions = {{keys::kJob + id, job_version}, {keys::kJobEnd + id, 0}};
+  commit.mutations = {{keys::kJobEnd + id, false, end, 0}, {keys::kJob + id, true, {}, 0}};
+  outbox_->SendState(commit, [=, this](Micros now, StateResponse& response) {
+    if (response.ok()) {
+      CacheEnd(id, end);
+      AnswerEnded(request_id, id);
+      callbacks_.on_cancellation_recorded(now, id);
+    } else if (response.outcome == StateResponse::Outcome::kConflict && attempts > 1) {
+      Cancel(request_id, id, attempts - 1);  // the job ended meanwhile, or its record changed
+    } else {
+      Refuse(request_id, 503, id, "the cancellation can't be recorded now");
+    }
+  });
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/controller/controller.cpp
@@ -0,0 +1,232 @@
+#include "core/controller/controller.h"
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kStatusInterval = Millis(500);
+constexpr Micros kHandoverWait = Millis(250);
+constexpr Micros kStepDownPause = Seconds(15);  // before standing again after yielding
+constexpr Micros kHealthyFor = Seconds(3);      // after the state service's last answer
+
+}  // namespace
+
+Controller::Controller(PlatformSettings settings, Options options)
+    : settings_(std::move(settings)),
+      options_(std::move(options)),
+      machine_types_(&settings_, &options_),
+      connectivity_(&outbox_),
+      peers_(&settings_, &connectivity_, &outbox_) {
+  CreateElection();
+  CreateJobApi();
+}
+
+void Controller::CreateElection() {
+  int position = 0;
+  for (const auto& member : settings_.members) position += member.name < settings_.member;
+  Election::Callbacks callbacks;
+  callbacks.on_elected = [this](Micros now) { OnElected(now); };
+  callbacks.on_lost = [this](Micros) { OnLeadershipLost(); };
+  callbacks.on_control_entry = [this](Micros, const Entry& entry) {
+    machine_types_.OnControlEntry(entry);
+  };
+  election_ = std::make_unique<Election>(&outbox_, settings_.member, position, options_.lease,
+                                         std::move(callbacks));
+}
+
+void Controller::CreateJobApi() {
+  JobApi::Callbacks callbacks;
+  callbacks.infeasible_reason = [this](const JobSpec& spec) {
+    return machine_types_.InfeasibleReason(spec);
+  };
+  callbacks.types_known = [this] { return machine_types_.complete(); };
+  callbacks.on_cancellation_pending = [this](Micros now, const std::string& job) {
+    OnCancellationPending(now, job);
+  };
+  callbacks.on_cancellation_recorded = [this](Micros now, const std::string& job) {
+    OnCancellationRecorded(now, job);
+  };
+  callbacks.live_status = [this](const std::string& job) {
+    return leader_ ? leader_->Status(job) : peers_.StatusOf(job);
+  };
+  job_api_ = std::make_unique<JobApi>(&outbox_, std::move(callbacks));
+}
+
+void Controller::OnElected(Micros now) {
+  outbox_.Info("leader elected in term " + std::to_string(election_->term()));
+  LeaderContext context;
+  context.outbox = &outbox_;
+  context.settings = &settings_;
+  context.options = &options_;
+  context.election = election_.get();
+  context.types = machine_types_.types();
+  context.types_known = [this] { return machine_types_.complete(); };
+  leader_ = std::make_unique<Leader>(std::move(context), now, time_of_day_ms_);
+  leader_->Tick(now);
+  status_at_ = now;  // peers learn of the new leader at once
+}
+
+void Controller::OnLeadershipLost() {
+  ended_leader_ = std::move(leader_);
+  ended_leader_->RejectPending();
+}
+
+void Controller::BeginHandover(Micros now) {
+  if (!std::exchange(shutting_down_, true)) {
+    handover_deadline_ = now + kHandoverWait;
+    outbox_.Info("shutting down: handing leadership over to " + peers_.PreferredSuccessor(now));
+    peers_.Leave(now);
+  }
+  // Writes in flight finish first, or the successor would find them undone; nothing starts
+  // meanwhile.
+  if (leader_ && leader_->recording() && now < handover_deadline_) return;
+  election_->HandOver(now, peers_.PreferredSuccessor(now));
+}
+
+bool Controller::IsHealthy(Micros now) const {
+  if (shutting_down_) return false;
+  if (!election_->synced()) return false;
+  if (connectivity_.StateServiceAnsweredWithin(now, kHealthyFor)) return true;
+  // Users are better off elsewhere only where a peer does reach the state service.
+  return !peers_.StateServiceReachableFromPeer(now);
+}
+
+// A leader without heartbeats can start nothing, and would in the end release all its machines,
+// while their workers report to a peer that redirects them here. With no such peer it stays: then
+// the fault may be the workers'.
+void Controller::StepDownForPeerWithHeartbeats(Micros now) {
+  const std::string peer = peers_.PeerReceivingHeartbeats(now);
+  if (peer.empty()) return;
+  election_->StepDown(now, "no heartbeats arrive here, but " + peer + " receives them",
+                      kStepDownPause);
+}
+
+PeerStatus Controller::OwnStatus(Micros now) const {
+  PeerStatus status;
+  status.from = settings_.member;
+  status.term = election_->seen_term();
+  status.leader = election_->leader();
+  status.state_service_reachable = connectivity_.StateServiceReachable(now);
+  status.receives_heartbeats = connectivity_.ReceivesHeartbeats(now);
+  return status;
+}
+
+void Controller::SendStatus(Micros now) {
+  if (now < status_at_) return;
+  status_at_ = now + kStatusInterval;
+  PeerStatus status = OwnStatus(now);
+  if (leader_) status.job_statuses = leader_->Statuses();
+  outbox_.effects.peer_statuses.push_back(std::move(status));
+}
+
+void Controller::OnCancellationPending(Micros now, const std::string& job) {
+  if (leader_) return leader_->MarkCancelPending(now, job);
+  PeerStatus status = OwnStatus(now);
+  status.cancelling.push_back(job);
+  outbox_.effects.peer_statuses.push_back(std::move(status));
+}
+
+void Controller::OnCancellationRecorded(Micros now, const std::string& job) {
+  if (leader_) return leader_->EndCancelledJob(now, job);
+  PeerStatus status = OwnStatus(now);
+  status.cancelled.push_back(job);
+  outbox_.effects.peer_statuses.push_back(std::move(status));
+}
+
+void Controller::Tick(Micros now, int64_t time_of_day_ms) {
+  time_of_day_ms_ = time_of_day_ms;
+  peers_.Tick(now, time_of_day_ms);
+  election_->SetPosition(peers_.ElectionPosition(now));
+  election_->Tick(now);
+  if (leader_) leader_->Tick(now);
+  if (leader_ && leader_->ReceivesNoHeartbeats(now)) StepDownForPeerWithHeartbeats(now);
+  connectivity_.Tick(now);
+  SendStatus(now);
+  if (shutting_down_) BeginHandover(now);
+  ended_leader_.reset();
+}
+
+void Controller::OnStateResponse(Micros now, RequestId id, StateResponse response) {
+  connectivity_.OnStateResponse(now, response);
+  outbox_.Deliver(now, id, response);
+  ended_leader_.reset();
+}
+
+void Controller::OnCloudResponse(Micros now, RequestId id, CloudResponse response) {
+  outbox_.Deliver(now, id, response);
+  ended_leader_.reset();
+}
+
+void Controller::OnCommandResponse(Micros now, RequestId id, CommandResponse response) {
+  if (response.heartbeat) election_->NoteFencingToken(response.heartbeat->fencing_token);
+  outbox_.Deliver(now, id, response);
+  ended_leader_.reset();
+}
+
+bool Controller::AnswerAsLeader(Micros now, RequestId request_id, const Heartbeat& heartbeat,
+                                HeartbeatResponse* answer) {
+  const auto verdict = leader_->HandleHeartbeat(now, request_id, heartbeat, &answer->commands);
+  if (verdict != Leader::HeartbeatOutcome::kSuperseded) connectivity_.OnHeartbeat(now);
+  if (verdict == Leader::HeartbeatOutcome::kAnswerLater) return true;
+  if (verdict == Leader::HeartbeatOutcome::kAnswer) {
+    answer->status = 200;
+    answer->fencing_token = election_->term();
+    answer->valid_until = leader_->ValidUntil(answer->commands);
+  } else if (verdict != Leader::HeartbeatOutcome::kSuperseded) {
+    return false;
+  }
+  outbox_.effects.heartbeat_responses.push_back(std::move(*answer));
+  return true;
+}
+
+void Controller::OnHeartbeat(Micros now, RequestId request_id, const Heartbeat& heartbeat) {
+  election_->NoteFencingToken(heartbeat.fencing_token);
+  HeartbeatResponse answer;
+  answer.request_id = request_id;
+  if (leader_ && heartbeat.fencing_token > election_->term()) {
+    election_->StepDown(now, "a worker has seen a higher fencing token");
+  }
+  if (leader_ && AnswerAsLeader(now, request_id, heartbeat, &answer)) return;
+  if (!leader_) connectivity_.OnHeartbeat(now);
+  answer.leader = peers_.LeaderName(now, election_->seen_term(), election_->leader());
+  answer.status = answer.leader.empty() ? 503 : 421;
+  outbox_.effects.heartbeat_responses.push_back(std::move(answer));
+  ended_leader_.reset();
+}
+
+void Controller::OnSubmit(Micros now, RequestId request_id, Submission submission) {
+  job_api_->Submit(now, request_id, std::move(submission));
+}
+
+void Controller::OnQuery(Micros, RequestId request_id, const std::string& job) {
+  job_api_->Query(request_id, job);
+}
+
+void Controller::OnCancel(Micros, RequestId request_id, const std::string& job) {
+  job_api_->Cancel(request_id, job);
+}
+
+// Only a leader takes part in quota transfers. Messages are repeated, so one may be dropped.
+void Controller::OnCellMessage(Micros now, const limits::CellMessage& message) {
+  if (leader_ && leader_->ready()) leader_->OnCell(now, message);
+  ended_leader_.reset();
+}
+
+void Controller::OnMembershipMessage(Micros now, const membership::Message& message) {
+  peers_.OnMembershipMessage(now, message);
+}
+
+void Controller::OnPeerStatus(Micros now, const PeerStatus& status) {
+  // Terms are read from the state service and only grow: this one is over, though this controller
+  // may be the one that the state service refuses.
+  if (leader_ && status.term > election_->term()) {
+    election_->StepDown(now, status.from + " knows of term " + std::to_string(status.term));
+    ended_leader_.reset();
+  }
+  if (leader_) {
+    for (const std::string& job : status.cancelling) leader_->MarkCancelPending(now, job);
+    for (const std::string& job : status.cancelled) leader_->EndCancelledJob(now, job);
+  }
+  peers_.OnStatus(now, status);
+}
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/controller/controller.h
@@ -0,0 +1,84 @@
+// One controller of a cell: it takes inputs and collects effects, and knows no clock, socket or
+// thread.
+#pragma once
+
+#include <memory>
+#include <string>
+#include <utility>
+
+#include "core/api/job_api.h"
+#include "core/controller/connectivity.h"
+#include "core/controller/machine_type_catalog.h"
+#include "core/controller/peer_view.h"
+#include "core/election/election.h"
+#include "core/leader/leader.h"
+#include "core/outbox/outbox.h"
+
+namespace badgershore {
+
+// Joins the election, the users' job API and, while this controller leads, its term. Calls must not
+// overlap. After each input the owner takes and carries out the effects.
+class Controller {
+ public:
+  Controller(PlatformSettings settings, Options options);
+
+  // Inputs. `now` is monotonic; `request_id` comes back in the answer among the effects.
+  void Tick(Micros now, int64_t time_of_day_ms);
+  void OnStateResponse(Micros now, RequestId id, StateResponse response);
+  void OnCloudResponse(Micros now, RequestId id, CloudResponse response);
+  void OnCommandResponse(Micros now, RequestId id, CommandResponse response);
+  void OnHeartbeat(Micros now, RequestId request_id, const Heartbeat& heartbeat);
+  void OnSubmit(Micros now, RequestId request_id, Submission submission);
+  void OnQuery(Micros now, RequestId request_id, const std::string& job);
+  void OnCancel(Micros now, RequestId request_id, const std::string& job);
+  void OnPeerStatus(Micros now, const PeerStatus& status);
+  void OnMembershipMessage(Micros now, const membership::Message& message);
+  void OnCellMessage(Micros now, const limits::CellMessage& message);
+
+  // The process is to end: a leader hands over to a peer. Idempotent; continued by each tick until
+  // `handover_done`.
+  void BeginHandover(Micros now);
+  bool handover_done() const { return shutting_down_ && !election_->leads(); }
+
+  // Whether the load balancer should send users here.
+  bool IsHealthy(Micros now) const;
+  bool leads() const { return election_->leads(); }
+  Effects TakeEffects() { return std::exchange(outbox_.effects, Effects{}); }
+  // Null before the first tick.
+  const membership::Members* members() const { return peers_.members(); }
+  // Null while this controller does not lead.
+  const Leader* leader() const { return leader_.get(); }
+
+ private:
+  void CreateElection();
+  void CreateJobApi();
+  void OnElected(Micros now);
+  void OnLeadershipLost();
+  PeerStatus OwnStatus(Micros now) const;
+  void SendStatus(Micros now);
+  void OnCancellationPending(Micros now, const std::string& job);
+  void OnCancellationRecorded(Micros now, const std::string& job);
+  // A leader that no worker reaches yields to a peer that workers do reach.
+  void StepDownForPeerWithHeartbeats(Micros now);
+  // Lets the leader answer; false: somebody else has to.
+  bool AnswerAsLeader(Micros now, RequestId request_id, const Heartbeat& heartbeat,
+                      HeartbeatResponse* answer);
+
+  PlatformSettings settings_;
+  Options options_;
+  Outbox outbox_;
+  MachineTypeCatalog machine_types_;
+  Connectivity connectivity_;
+  PeerView peers_;
+  std::unique_ptr<Election> election_;
+  std::unique_ptr<JobApi> job_api_;
+  std::unique_ptr<Leader> leader_;
+  // Ended term, kept until no call into it can be on the stack.
+  std::unique_ptr<Leader> ended_leader_;
+  int64_t time_of_day_ms_ = 0;
+  Micros status_at_;
+  bool shutting_down_ = false;
+  Micros handover_deadline_;  // writes in flight are not waited for any longer
+};
+
+}  // namespace badgershore
--- /dev/null
+++ b/src/core/leader/fair_share.h
@@ -0,0 +1,76 @@
+// Sharing among teams: guarantees first, then dominant shares (Ghodsi et al., "Dominant Resource
+// Fairness", NSDI 2011) among jobs of equal priority.
+#pragma once
+
+#include <vector>
+
+#include "core/leader/part.h"
+#include "core/model/fleet.h"
+#include "core/model/jobs.h"
+
+namespace badgershore {
+
+// Compares jobs by their teams' shares, and preempts tasks of teams above their guarantee where
+// another team is short of its own.
+class FairShare : public Part {
+ public:
+  explicit FairShare(const LeaderContext* context);
+
+  // Recomputes the shares and reclaims guarantees, twice a second at most.
+  void Tick(Micros now);
+  // Positive: `a` starts before `b`; negative: after it; 0: the teams' shares don't decide.
+  int ComparePrecedence(const Job& a, const Job& b) const;
+  // Array and service jobs with unplaced tasks that are within a guarantee, or of a team below its
+  // share while another is above, as of the last tick.
+  const std::vector<Job*>& preferred_jobs() const { return preferred_jobs_; }
+  // The job is over.
+  void Remove(const Job* job);
+  // Without these resources the team would still use at least its guarantee, so that they may be
+  // preempted for another team's guarantee.
+  bool ExceedsGuaranteeWithout(int team, const Resources& resources) const;
+
+ private:
+  struct Share {
+    double dominant = 0;  // 0 to 1
+    bool wants = false;   // has tasks to start within its limit
+    bool over = false;    // uses more than its share
+  };
+  struct ShareSum {
+    double dominant = 0;
+    int active = 0;  // teams that use or want something
+  };
+  // A machine where tasks of a job fit once the victims are preempted.
+  struct PreemptionOption {
+    Machine* machine = nullptr;
+    int tasks = 0;
+    double cost = 0;  // per task
+    std::vector<Allocation*> victims;
+  };
+  // Preempted for a team's guarantee within the current window.
+  struct PreemptedCpu {
+    int64_t cpu = 0;  // in thousandths of a core
+    Micros window_start;
+  };
+
+  void ReleaseExpiredHolds(Micros now);
+  void UpdateShares(Micros now);
+  bool IsCrowded(Micros now, Resources* capacity);
+  ShareSum SumShares(const Resources& capacity);
+  bool MarkTeamsOver(const ShareSum& sum, bool crowded);
+  void ListPreferredJobs(const ShareSum& sum, bool any_over);
+  std::vector<Job*> JobsShortOfGuarantee(Micros now) const;
+  void CountStopping();
+  void ReclaimGuarantee(Micros now, Job* job);
+  int MissingTasks(const Job& job) const;
+  bool Execute(Micros now, Job* job, const PreemptionOption& option, int tasks);
+  std::vector<PreemptionOption> FindOptions(Micros now, const Job& job, int tasks) const;
+  bool PlanOn(Micros now, Machine* m, const Job& job, int tasks, PreemptionOption* out) const;
+
+  std::vector<Share> shares_;  // by team
+  std::vector<Job*> preferred_jobs_;
+  std::vector<PreemptedCpu> preempted_;  // by team
+  std::vector<Resources> stopping_;      // by team: told to stop and still there
+  Micros next_tick_at_;
+};
+
+}  // namespace badgershore
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -7,21 +7,31 @@
 #include <string>
 #include <vector>
 
-#include "core/frontend/mirror.h"
-#include "core/leader/blame.h"
-#include "core/leader/checkins.h"
+#include "core/leader/agent_client.h"
 #include "core/leader/dispatch.h"
-#include "core/leader/gangs.h"
+#include "core/leader/failure_detector.h"
+#include "core/leader/fair_share.h"
+#include "core/leader/fault_attribution.h"
+#include "core/leader/gang_placement.h"
+#include "core/leader/gang_preemption.h"
+#include "core/leader/gang_queue.h"
+#include "core/leader/gang_reservations.h"
+#include "core/leader/gang_scheduler.h"
+#include "core/leader/heartbeat_handler.h"
+#include "core/leader/heartbeat_processor.h"
 #include "core/leader/job_table.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/occupancy.h"
 #include "core/leader/part.h"
 #include "core/leader/provisioner.h"
-#include "core/leader/recorder.h"
-#include "core/leader/rights.h"
-#include "core/leader/sharing.h"
-#include "core/leader/supervisor.h"
-#include "core/placement/autoscale.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/quota_reservations.h"
+#include "core/leader/quota_shares.h"
+#include "core/leader/reconciler.h"
+#include "core/leader/record_writer.h"
+#include "core/leader/stuck_job_detector.h"
+#include "core/leader/usage_accounting.h"
+#include "core/outbox/key_range_cache.h"
+#include "core/placement/autoscaler.h"
 
 namespace badgershore {
 
@@ -32,32 +42,41 @@
   ~Leader();
 
   void Tick(Micros now);
-  // What to say to a report. kLater: the answer comes among the effects, by its token. Before the
-  // records are read all answers wait: they would keep tasks alive of jobs that are cancelled.
-  using Verdict = Checkins::Verdict;
-  Verdict Checkin(Micros now, RequestId token, const Heartbeat& report,
-                  std::vector<Command>* orders);
-  JobStatus Digest(const std::string& job) const { return job_table_.Digest(job); }
-  std::vector<JobStatus> Digests() const { return job_table_.Digests(); }
-  Micros GoodUntil(const std::vector<Command>& orders) const { return checkins_.GoodUntil(orders); }
-  // The term is over: whoever still waits for an answer is to look elsewhere.
-  void Dismiss();
-  void OnCell(Micros now, const limits::CellMessage& note) { rights_.OnNote(now, note); }
-  void CallOff(Micros now, const std::string& job) { job_table_.CallOff(now, job); }
-  // It is recorded: halts leave at once, though this leader may be the one that can't read it.
-  void CalledOff(Micros now, const std::string& job) {
-    job_table_.CallOff(now, job);
+  // Answers a heartbeat. kAnswerLater: the response is among the effects later, by its request id.
+  // Until the records are read every answer waits, since an answer would extend the lease of tasks
+  // whose jobs may be cancelled.
+  using HeartbeatOutcome = HeartbeatHandler::Outcome;
+  HeartbeatOutcome HandleHeartbeat(Micros now, RequestId request_id, const Heartbeat& heartbeat,
+                                   std::vector<Command>* commands);
+  JobStatus Status(const std::string& job) const { return job_table_.Status(job); }
+  std::vector<JobStatus> Statuses() const { return job_table_.Statuses(); }
+  Micros ValidUntil(const std::vector<Command>& commands) const {
+    return heartbeat_handler_.ValidUntil(commands);
+  }
+  // The term has ended: heartbeats that still wait for an answer are rejected.
+  void RejectPending();
+  void OnCell(Micros now, const limits::CellMessage& message) {
+    quota_shares_.OnMessage(now, message);
+  }
+  void MarkCancelPending(Micros now, const std::string& job) {
+    job_table_.MarkCancelPending(now, job);
+  }
+  // The cancellation is durable: tasks are stopped at once, even if this leader can't read it.
+  void EndCancelledJob(Micros now, const std::string& job) {
+    job_table_.MarkCancelPending(now, job);
     job_table_.EndJob(now, job);
   }
-  const Rights& rights() const { return rights_; }
-  bool recording() const { return recorder_.writing(); }
+  const QuotaShares& quota_shares() const { return quota_shares_; }
+  bool recording() const { return record_writer_.IsWriteInFlight(); }
   bool ready() const { return ready_; }
-  bool Deaf(Micros now) const { return ready_ && machine_table_.Deaf(now); }
+  bool ReceivesNoHeartbeats(Micros now) const {
+    return ready_ && failure_detector_.ReceivesNoHeartbeats(now);
+  }
   std::string Explain(Micros now, const std::string& job) const {
-    return supervisor_.Explain(now, job);
+    return stuck_job_detector_.Explain(now, job);
   }
-  // Where the counts kept as things change differ from a full count; empty: nowhere.
-  std::string CountFault() const { return occupancy_.Fault(); }
+  // The first difference between the counts and a full recount; empty: none.
+  std::string VerifyCounts() const { return usage_accounting_.VerifyCounts(); }
 
  private:
   void LoadPrefix(const std::string& prefix, const std::string& after);
@@ -74,7 +93,7 @@
     std::string prefix, after;
   };
   std::vector<Load> load_again_;
-  std::unique_ptr<Mirror> jobs_mirror_;
+  std::unique_ptr<KeyRangeCache> jobs_mirror_;
   std::unique_ptr<LeaderAuthority> authority_;
   struct EarlyReport {
     Micros at;
@@ -83,18 +102,28 @@
   };
   std::deque<EarlyReport> early_;  // came before the records were read
   Autoscaler scaler_;
-  Blame blame_;
+  FaultAttribution fault_attribution_;
   JobTable job_table_;
-  Occupancy occupancy_;
+  UsageAccounting usage_accounting_;
+  QuotaChecker quota_checker_;
+  QuotaReservations quota_reservations_;
   MachineTable machine_table_;
+  AgentClient agent_client_;
+  HeartbeatProcessor heartbeat_processor_;
+  Reconciler reconciler_;
+  FailureDetector failure_detector_;
   Dispatch dispatch_;
-  Gangs gangs_;
-  Recorder recorder_;
+  GangPlacement gang_placement_;
+  GangPreemption gang_preemption_;
+  GangQueue gang_queue_;
+  GangReservations gang_reservations_;
+  GangScheduler gang_scheduler_;
+  RecordWriter record_writer_;
   Provisioner provisioner_;
-  Rights rights_;
-  Checkins checkins_;
-  Sharing sharing_;
-  Supervisor supervisor_;
+  QuotaShares quota_shares_;
+  HeartbeatHandler heartbeat_handler_;
+  FairShare fair_share_;
+  StuckJobDetector stuck_job_detector_;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/part.h
+++ b/src/core/leader/part.h
@@ -7,30 +7,40 @@
 #include <memory>
 #include <string>
 
-#include "core/frontend/asker.h"
-#include "core/frontend/election.h"
-#include "core/frontend/leader_authority.h"
+#include "core/election/election.h"
+#include "core/election/leader_authority.h"
 #include "core/model/settings.h"
 #include "core/model/types.h"
+#include "core/outbox/outbox.h"
 
 namespace badgershore {
 
+class AgentClient;
 class Autoscaler;
-class Blame;
+class FailureDetector;
+class FaultAttribution;
 class JobTable;
-class Checkins;
+class HeartbeatHandler;
+class HeartbeatProcessor;
 class Dispatch;
-class Gangs;
-class Occupancy;
-class Recorder;
+class GangPlacement;
+class GangPreemption;
+class GangQueue;
+class GangReservations;
+class GangScheduler;
+class QuotaChecker;
+class QuotaReservations;
+class Reconciler;
+class UsageAccounting;
+class RecordWriter;
 class Provisioner;
-class Rights;
+class QuotaShares;
 class MachineTable;
-class Sharing;
-class Supervisor;
+class FairShare;
+class StuckJobDetector;
 
 struct LeaderContext {
-  Asker* asker = nullptr;
+  Outbox* outbox = nullptr;
   const PlatformSettings* settings = nullptr;
   const Options* options = nullptr;
   Election* election = nullptr;
@@ -42,19 +52,29 @@
   int64_t began_ms = 0;  // the time of day then
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
+  AgentClient* agent_client = nullptr;
   Autoscaler* scaler = nullptr;
-  Blame* blame = nullptr;
+  FailureDetector* failure_detector = nullptr;
+  FaultAttribution* fault_attribution = nullptr;
   JobTable* job_table = nullptr;
-  Checkins* checkins = nullptr;
+  HeartbeatProcessor* heartbeat_processor = nullptr;
+  HeartbeatHandler* heartbeat_handler = nullptr;
   Dispatch* dispatch = nullptr;
-  Gangs* gangs = nullptr;
-  Occupancy* occupancy = nullptr;
-  Recorder* recorder = nullptr;
+  GangPlacement* gang_placement = nullptr;
+  GangPreemption* gang_preemption = nullptr;
+  GangQueue* gang_queue = nullptr;
+  GangReservations* gang_reservations = nullptr;
+  GangScheduler* gang_scheduler = nullptr;
+  QuotaChecker* quota_checker = nullptr;
+  QuotaReservations* quota_reservations = nullptr;
+  Reconciler* reconciler = nullptr;
+  UsageAccounting* usage_accounting = nullptr;
+  RecordWriter* record_writer = nullptr;
   Provisioner* provisioner = nullptr;
-  Rights* rights = nullptr;
+  QuotaShares* quota_shares = nullptr;
   MachineTable* machine_table = nullptr;
-  Sharing* sharing = nullptr;
-  Supervisor* supervisor = nullptr;
+  FairShare* fair_share = nullptr;
+  StuckJobDetector* stuck_job_detector = nullptr;
 };
 
 class Part {
@@ -64,7 +84,7 @@
   Part& operator=(const Part&) = delete;
 
  protected:
-  Asker* asker() const { return context_->asker; }
+  Outbox* outbox() const { return context_->outbox; }
   const PlatformSettings& settings() const { return *context_->settings; }
   const Options& options() const { return *context_->options; }
   Election* election() const { return context_->election; }
@@ -74,19 +94,29 @@
   Micros began() const { return context_->began; }
   int64_t began_ms() const { return context_->began_ms; }
 
+  AgentClient& agent_client() const { return *context_->agent_client; }
   Autoscaler& scaler() const { return *context_->scaler; }
-  Blame& blame() const { return *context_->blame; }
+  FailureDetector& failure_detector() const { return *context_->failure_detector; }
+  FaultAttribution& fault_attribution() const { return *context_->fault_attribution; }
   JobTable& job_table() const { return *context_->job_table; }
-  Checkins& checkins() const { return *context_->checkins; }
+  HeartbeatProcessor& heartbeat_processor() const { return *context_->heartbeat_processor; }
+  HeartbeatHandler& heartbeat_handler() const { return *context_->heartbeat_handler; }
   Dispatch& dispatch() const { return *context_->dispatch; }
-  Gangs& gangs() const { return *context_->gangs; }
-  Occupancy& occupancy() const { return *context_->occupancy; }
-  Recorder& recorder() const { return *context_->recorder; }
+  GangPlacement& gang_placement() const { return *context_->gang_placement; }
+  GangPreemption& gang_preemption() const { return *context_->gang_preemption; }
+  GangQueue& gang_queue() const { return *context_->gang_queue; }
+  GangReservations& gang_reservations() const { return *context_->gang_reservations; }
+  GangScheduler& gang_scheduler() const { return *context_->gang_scheduler; }
+  QuotaChecker& quota_checker() const { return *context_->quota_checker; }
+  QuotaReservations& quota_reservations() const { return *context_->quota_reservations; }
+  Reconciler& reconciler() const { return *context_->reconciler; }
+  UsageAccounting& usage_accounting() const { return *context_->usage_accounting; }
+  RecordWriter& record_writer() const { return *context_->record_writer; }
   Provisioner& provisioner() const { return *context_->provisioner; }
-  Rights& rights() const { return *context_->rights; }
+  QuotaShares& quota_shares() const { return *context_->quota_shares; }
   MachineTable& machine_table() const { return *context_->machine_table; }
-  Sharing& sharing() const { return *context_->sharing; }
-  Supervisor& supervisor() const { return *context_->supervisor; }
+  FairShare& fair_share() const { return *context_->fair_share; }
+  StuckJobDetector& stuck_job_detector() const { return *context_->stuck_job_detector; }
 
   // Wraps a continuation so that it does nothing after the term.
   template <typename F>
--- /dev/null
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -0,0 +1,161 @@
+#include "core/leader/stuck_job_detector.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "core/leader/dispatch.h"
+#include "core/leader/gang_scheduler.h"
+#include "core/leader/job_table.h"
+#include "core/leader/machine_table.h"
+#include "core/leader/quota_checker.h"
+#include "core/leader/reconciler.h"
+#include "core/leader/usage_accounting.h"
+
+namespace badgershore {
+namespace {
+
+constexpr Micros kInterval = Seconds(5);
+
+// The low bits of an attempt count within its term.
+constexpr uint64_t kAttemptInTermMask = 0xffffff;
+
+// A job's next step may take so many boots, start timeouts of a gang and estimated run times.
+constexpr double kBootFactor = 2;
+constexpr double kGangStartFactor = 2;
+constexpr double kRunFactor = 4;
+
+std::string Text(int64_t n) { return std::to_string(n); }
+
+}  // namespace
+
+// Every condition of the job's next step, in the order in which it would meet them.
+std::string StuckJobDetector::WaitReason(Micros now, const Job& job) const {
+  if (job.finishing) return "all tasks done, its end is not recorded yet";
+  if (job.cancel_pending) return "its cancellation is being recorded";
+  if (reconciler().MayStillRun(job))
+    return Text(static_cast<int64_t>(reconciler().unreconciled().size())) + " machines unresolved";
+  if (!election()->MayStart(now)) return "leader lease not held";
+  if (!authority().MayStart(now)) return "recent cancellations not known";
+  if (!quota_checker().Allows(job, job.IsGang() ? job.remaining() - job.placed : 1))
+    return "team limit reached";
+  if (job.IsGang() && job.gang_stopping) return "its last attempt is still being stopped";
+  if (now < job.backoff_until) return "backoff after failures";
+  if (!job.IsGang() && !job.delayed.empty() && job.waiting.empty() && job.queued == 0 &&
+      job.placed == 0) {
+    return "backoff after failures";
+  }
+  return MachineWaitReason(now, job);
+}
+
+std::string StuckJobDetector::MachineWaitReason(Micros now, const Job& job) const {
+  int eligible = 0, ready = 0, with_room = 0, unrecorded = 0;
+  for (const auto& [id, m] : machine_table().machines()) {
+    if (!m->type || !Allows(job.spec, *m->type, m->zone, m->spot) ||
+        !usage_accounting().ZoneAllows(job, m->zone)) {
+      continue;
+    }
+    ++eligible;
+    if (!machine_table().IsReady(*m, now)) continue;
+    ++ready;
+    unrecorded += !m->durable;
+    with_room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
+  }
+  if (eligible == 0) return "no eligible machine";
+  if (ready == 0) return "none of " + Text(eligible) + " eligible machines is ready";
+  if (with_room == 0) return "insufficient free resources on " + Text(ready) + " ready machines";
+  if (unrecorded == ready) return "machine records not durable yet";
+  if (job.placed > 0) return "its placed tasks do not end";
+  return "free resources on " + Text(with_room) + " of " + Text(ready) +
+         " ready machines, no known cause";
+}
+
+std::string StuckJobDetector::Explain(Micros now, const std::string& id) const {
+  auto it = job_table().jobs().find(id);
+  if (it == job_table().jobs().end()) return id + ": unknown to the leader";
+  const Job& job = *it->second;
+  std::string out = id + ": " + Text(job.done) + " of " + Text(job.spec.tasks) + " tasks done, " +
+                    Text(job.placed) + " placed, " + Text(job.running) + " running, " +
+                    Text(job.queued) + " queued";
+  if (job.IsGang()) {
+    out += ", attempt " + Text(static_cast<int64_t>(job.gang_attempt & kAttemptInTermMask));
+  }
+  return out + "; no progress for " + Text((now - job.progressed_at).ToMillis() / 1000) +
+         " s: " + WaitReason(now, job);
+}
+
+Micros StuckJobDetector::StuckTimeout(const Job& job) const {
+  Micros boot;
+  for (const auto& [name, type] : types()) boot = std::max(boot, type.boot);
+  const Micros usual = boot.Scaled(kBootFactor * options().boot_patience) +
+                       settings().gang_start_timeout.Scaled(kGangStartFactor) +
+                       job.spec.estimated_runtime.Scaled(kRunFactor);
+  return std::max(options().stuck_after, usual);
+}
+
+void StuckJobDetector::Tick(Micros now) {
+  if (now < next_tick_at_) return;
+  next_tick_at_ = now + kInterval;
+  for (auto& [id, ptr] : job_table().jobs()) {
+    Job* job = ptr.get();
+    if (job->IsService() && job->placed == job->remaining()) continue;
+    if (now - job->progressed_at < StuckTimeout(*job) || now < job->stuck_logged_at) continue;
+    job->stuck_logged_at = now + StuckTimeout(*job);
+    outbox()->Info("stuck: " + Explain(now, id));
+    RepairCounts(now, job);
+    // A gang that is still gathering is stopped as after the loss of a member, and starts anew once
+    // all of it is proved gone. One that runs may just take long.
+    if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
+      outbox()->Info("stuck: gang " + id + " stopped, restarts once all members are gone");
+      gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
+    }
+  }
+}
+
+StuckJobDetector::JobCounts StuckJobDetector::CountAllocations(const Job& job) const {
+  JobCounts counts;
+  counts.on_machine.resize(job.tasks.size(), 0);
+  for (auto& [id, m] : machine_table().machines()) {
+    counts.machines.insert(m.get());
+    for (auto& [key, o] : m->allocations) {
+      if (o.job != &job || o.exited()) continue;
+      ++counts.placed;
+      counts.running += o.phase == TaskPhase::kRunning;
+      ++counts.by_zone[m->zone];
+      const auto task = static_cast<size_t>(o.ref.task);
+      const TaskState& t = job.tasks[task];
+      if (t.machine == m.get() && t.attempt == o.attempt) counts.on_machine[task] = 1;
+    }
+  }
+  return counts;
+}
+
+// Sets the job's counts to those of the machines' allocations, which are the truth; a difference is
+// a bug. A task that is said to be on a machine without such an allocation is not simply started
+// elsewhere: the machine is returned first, and the cloud's word proves that nothing runs there.
+void StuckJobDetector::RepairCounts(Micros now, Job* job) {
+  const JobCounts counts = CountAllocations(*job);
+  std::map<std::string, Machine*> doubtful;  // by id
+  int lost = 0;
+  for (int i = 0; i < job->spec.tasks; ++i) {
+    TaskState& t = job->tasks[static_cast<size_t>(i)];
+    if (t.stage != TaskStage::kPlaced || counts.on_machine[static_cast<size_t>(i)]) continue;
+    ++lost;
+    if (counts.machines.contains(t.machine)) {
+      doubtful[t.machine->id] = t.machine;
+    } else {
+      job_table().RequeueTask(now, job, i, {});
+    }
+  }
+  if (lost == 0 && counts.placed == job->placed && counts.running == job->running) return;
+  outbox()->Log(LogLine::Level::kError,
+                "task counts of " + job->spec.id + " corrected: placed " + Text(job->placed) +
+                    " to " + Text(counts.placed) + ", running " + Text(job->running) + " to " +
+                    Text(counts.running) + ", " + Text(lost) + " tasks lost");
+  job->placed = counts.placed;
+  job->running = counts.running;
+  job->zone_count = counts.by_zone;
+  for (auto& [machine_id, m] : doubtful)
+    machine_table().ReleaseMachine(now, m, "its allocations differ from the leader's task states");
+}
+
+}  // namespace badgershore
--- a/src/core/model/fleet.h
+++ b/src/core/model/fleet.h
@@ -8,12 +8,11 @@
 #include <vector>
 
 #include "core/model/effects.h"
+#include "core/model/jobs.h"
 #include "core/model/types.h"
 
 namespace badgershore {
 
-struct Job;
-
 // A task on a machine, or one that may be there.
 struct Allocation {
   TaskRef ref;
@@ -28,14 +27,14 @@
   uint64_t sent_epoch = 0, sent_sequence = 0;  // of the report whose answer carried the start
   bool stop_requested = false;
   Micros grace_period;
-  bool counted = false;           // in the occupancy
+  bool counted = false;           // in the usage accounting
   int preemptible_priority = -1;  // its rank, where a gang of higher rank may stop it
   bool exited() const { return phase == TaskPhase::kExited; }
 };
 
 struct QueueEntry {
   Job* job = nullptr;
-  std::deque<std::pair<int, Micros>> tasks;  // (task, bound_at); valid while the task agrees
+  std::deque<QueuedTask> tasks;
 };
 struct QueueKey {
   Priority priority;
@@ -108,7 +107,7 @@
   Micros failing_since;
   std::deque<std::string> images;  // most recent last
 
-  // The occupancy keeps these: what has not exited, how many of jobs that are not known, and what
+  // Kept by UsageAccounting: what has not exited, how many of jobs that are not known, and what
   // else may be on it.
   Resources used;
   int unknown_tasks = 0;
