--- /dev/null
+++ b/src/store/disk/database_options.cpp
@@ -0,0 +1,48 @@
+#include "store/disk/database_options.h"
+
+#include <rocksdb/cache.h>
+#include <rocksdb/memtablerep.h>
+#include <rocksdb/table.h>
+
+#include <memory>
+
+namespace badgershore::store {
+namespace {
+
+constexpr size_t kWriteBufferBytes = 16 << 20;
+constexpr size_t kBlockCacheBytes = 8 << 20;
+constexpr int kMaxOpenFiles = 256;
+constexpr int kAllFilesOpen = -1;
+constexpr int kBackgroundJobs = 2;
+constexpr size_t kKeptInfoLogs = 3;
+constexpr uint32_t kTableFormatVersion = 5;
+
+}  // namespace
+
+rocksdb::Options DatabaseOptions(DatabaseAccess access, rocksdb::Env* env) {
+  const bool writable = access == DatabaseAccess::kReadWrite;
+  rocksdb::Options options;
+  if (env) options.env = env;
+  options.create_if_missing = writable;
+  options.paranoid_checks = true;
+  options.wal_recovery_mode = writable ? rocksdb::WALRecoveryMode::kAbsoluteConsistency
+                                       : rocksdb::WALRecoveryMode::kTolerateCorruptedTailRecords;
+  options.track_and_verify_wals_in_manifest = writable;
+  options.max_background_jobs = kBackgroundJobs;
+  options.write_buffer_size = kWriteBufferBytes;
+  // Nothing is read while it serves: new rows are kept in the order of their arrival, and sorted
+  // when they go to a table.
+  options.memtable_factory = std::make_shared<rocksdb::VectorRepFactory>();
+  options.allow_concurrent_memtable_write = false;
+  options.max_open_files = writable ? kMaxOpenFiles : kAllFilesOpen;
+  options.keep_log_file_num = kKeptInfoLogs;
+  options.info_log_level = rocksdb::InfoLogLevel::WARN_LEVEL;
+  options.compression = rocksdb::kNoCompression;
+  rocksdb::BlockBasedTableOptions table;
+  table.block_cache = rocksdb::NewLRUCache(kBlockCacheBytes);
+  table.format_version = kTableFormatVersion;
+  options.table_factory.reset(rocksdb::NewBlockBasedTableFactory(table));
+  return options;
+}
+
+}  // namespace badgershore::store
--- a/src/store/disk/engine.cpp
+++ b/src/store/disk/engine.cpp
@@ -1,142 +1,63 @@
 #include "store/disk/engine.h"
 
-#include <fcntl.h>
 #include <rocksdb/db.h>
 #include <rocksdb/env.h>
-#include <rocksdb/filter_policy.h>
-#include <rocksdb/memtablerep.h>
-#include <rocksdb/table.h>
 #include <rocksdb/write_batch.h>
 #include <sys/statvfs.h>
 #include <unistd.h>
 
 #include <algorithm>
-#include <cereal/archives/portable_binary.hpp>
-#include <cereal/types/string.hpp>
-#include <cereal/types/vector.hpp>
 #include <filesystem>
-#include <fstream>
-#include <sstream>
-#include <streambuf>
 
-#include "store/disk/log_check.h"
+#include "store/disk/database_options.h"
+#include "store/disk/log_recovery.h"
+#include "store/disk/rows.h"
 
 namespace badgershore::store {
 namespace {
 
 namespace fs = std::filesystem;
 
-// Every record begins with this; a later form raises it and still reads the earlier ones.
-constexpr uint8_t kFormat = 1;
-
-struct MetaRow {
-  uint64_t epoch = 0, last_lease = 0, compacted = 0, writes = 0;
-  template <class A>
-  void serialize(A& a) {
-    a(epoch, last_lease, compacted, writes);
-  }
-};
-struct ItemRow {
-  uint64_t stamp = 0, lease = 0;
-  std::string value;
-  template <class A>
-  void serialize(A& a) {
-    a(stamp, lease, value);
-  }
-};
-struct LeaseRow {
-  int64_t life = 0;
-  template <class A>
-  void serialize(A& a) {
-    a(life);
-  }
-};
-struct ChangeRow {
-  uint64_t stamp = 0;
-  std::string key, value;
-  bool deleted = false;
-  template <class A>
-  void serialize(A& a) {
-    a(stamp, key, value, deleted);
-  }
-};
-// The changes of one batch, in one record under its last revision.
-struct ChangesRow {
-  std::vector<ChangeRow> changes;
-  template <class A>
-  void serialize(A& a) {
-    a(changes);
-  }
-};
+std::string OneLine(std::string text) {
+  std::replace(text.begin(), text.end(), '\n', ' ');
+  return text;
+}
 
-const std::string kMeta = "m", kNote = "r";
+constexpr int kReadOnlyOpenAttempts = 20;
+constexpr useconds_t kReadOnlyRetryDelayUs = 50'000;
 
-std::string BigEndian(uint64_t v) {
-  std::string out(8, '\0');
-  for (int i = 7; i >= 0; --i, v >>= 8) out[static_cast<size_t>(i)] = static_cast<char>(v);
-  return out;
-}
-uint64_t FromBigEndian(std::string_view s) {
-  uint64_t v = 0;
-  for (char c : s) v = v << 8 | static_cast<unsigned char>(c);
-  return v;
+// A file that the storage library leaves in a directory before the database exists.
+bool IsDatabaseFile(const fs::path& path) {
+  const std::string name = path.filename().string();
+  return name == "LOCK" || name == "IDENTITY" || name.starts_with("LOG") ||
+         name.starts_with("MANIFEST-") || name.ends_with(".log") || name.ends_with(".dbtmp");
 }
 
-// A string as a stream: a new string stream for each record costs more than the record.
-class StringSink : public std::streambuf {
+// The library's lock on a data directory, held until the end of the scope.
+class DirectoryLock {
  public:
-  std::string text;
+  DirectoryLock(rocksdb::Env* env, const std::string& dir) : env_(env) {
+    const rocksdb::Status status = env_->LockFile(dir + "/LOCK", &lock_);
+    if (status.ok()) return;
+    const std::string reason = status.ToString();
+    if (reason.find("lock hold by") != std::string::npos ||
+        reason.find("unavailable") != std::string::npos) {
+      throw DiskError(dir + ": in use by another process");
+    }
+    throw DiskError(dir + ": can't be used: " + OneLine(reason));
+  }
+  ~DirectoryLock() { env_->UnlockFile(lock_); }
+  DirectoryLock(const DirectoryLock&) = delete;
+  DirectoryLock& operator=(const DirectoryLock&) = delete;
 
  private:
-  std::streamsize xsputn(const char* data, std::streamsize n) override {
-    text.append(data, static_cast<size_t>(n));
-    return n;
-  }
-  int overflow(int c) override {
-    text.push_back(static_cast<char>(c));
-    return c;
-  }
+  rocksdb::Env* env_;
+  rocksdb::FileLock* lock_ = nullptr;
 };
 
-template <typename Row>
-std::string Pack(const Row& row) {
-  thread_local StringSink sink;
-  thread_local std::ostream out(&sink);
-  sink.text.clear();
-  {
-    cereal::PortableBinaryOutputArchive archive(out);
-    archive(kFormat, row);
-  }
-  return sink.text;
-}
-
-template <typename Row>
-Row Unpack(const rocksdb::Slice& key, const rocksdb::Slice& value) {
-  Row row;
-  uint8_t format = 0;
-  try {
-    std::istringstream in(value.ToString());
-    cereal::PortableBinaryInputArchive archive(in);
-    archive(format);
-    if (format == kFormat) {
-      archive(row);
-      return row;
-    }
-  } catch (const std::exception&) {
-    format = 0;
-  }
-  const std::string name = "record " + key.ToString(true);
-  throw DiskError(format == 0 ? name + " can't be read"
-                              : name + " has format " + std::to_string(format) +
-                                    ", this program reads " + std::to_string(kFormat));
-}
-
-std::string OneLine(std::string text) {
-  std::replace(text.begin(), text.end(), '\n', ' ');
-  return text;
+void Put(rocksdb::WriteBatch* out, const MetaRow& meta) {
+  out->Put(kMetadataKey, Pack(meta));
 }
-
-void Put(rocksdb::WriteBatch* out, const MetaRow& meta) { out->Put(kMeta, Pack(meta)); }
 void PutItem(rocksdb::WriteBatch* out, const std::string& key, const VersionedValue& item) {
   out->Put("k" + key, Pack(ItemRow{item.version, item.lease, item.value}));
 }
@@ -173,141 +94,72 @@
 
 Engine::~Engine() = default;
 
-// Walks the logs that the library will read. Only the newest write-ahead log may have a torn end;
-// the rest were synced whole before a newer one was begun.
-void Engine::CheckLogs() {
-  std::vector<std::pair<uint64_t, fs::path>> logs;
-  std::error_code error;
-  for (const auto& file : fs::directory_iterator(dir_, error)) {
-    const std::string name = file.path().filename().string();
-    if (file.path().extension() == ".log") {
-      logs.emplace_back(std::strtoull(name.c_str(), nullptr, 10), file.path());
-    }
-  }
-  std::sort(logs.begin(), logs.end());
-  const auto read = [](const fs::path& path) {
-    std::ifstream in(path, std::ios::binary);
-    std::ostringstream bytes;
-    bytes << in.rdbuf();
-    return std::move(bytes).str();
-  };
-  std::ifstream current(fs::path(dir_) / "CURRENT");
-  std::string manifest;
-  if (current && std::getline(current, manifest) &&
-      fs::is_regular_file(fs::path(dir_) / manifest, error)) {
-    logs.emplace(logs.begin(), 0, fs::path(dir_) / manifest);
-  }
-  for (size_t i = 0; i < logs.size(); ++i) {
-    const fs::path& path = logs[i].second;
-    const LogCheck check = CheckLog(read(path));
-    if (check.state == LogCheck::State::kWhole) continue;
-    const std::string where = path.string() + ": byte " + std::to_string(check.bad_at);
-    const bool manifest_file = path.extension() != ".log";
-    if (check.state == LogCheck::State::kDamaged || (i + 1 < logs.size() && !manifest_file)) {
-      throw DiskError(where + ": damaged; restore a snapshot");
+void Engine::Open() {
+  db_.reset();
+  PrepareDirectory();
+  rocksdb::DB* db = nullptr;
+  const rocksdb::Status status =
+      mode_ == OpenMode::kReadOnly ? OpenReadOnly(&db) : OpenReadWrite(&db);
+  if (!status.ok()) {
+    const std::string reason = status.ToString();
+    if (reason.find("/LOCK") != std::string::npos) {
+      throw DiskError(dir_ + ": in use by another process");
     }
-    // A manifest's torn end names nothing that was answered, and an owner may be just writing.
-    if (mode_ == OpenMode::kReadOnly || manifest_file) continue;
-    notes_.push_back(where + ": a torn end of " +
-                     std::to_string(fs::file_size(path) - check.good_bytes) + " bytes was cut");
-    const int fd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
-    const bool cut =
-        fd >= 0 && ::ftruncate(fd, static_cast<off_t>(check.good_bytes)) == 0 && ::fsync(fd) == 0;
-    if (fd >= 0) ::close(fd);
-    if (!cut) throw DiskError(where + ": a torn end can't be cut");
+    throw DiskError(dir_ + ": " + OneLine(reason));
   }
+  db_.reset(db);
+  LoadMetadata();
 }
 
-void Engine::Open() {
-  db_.reset();
-  const bool fresh = IsEmptyOrAbsent(dir_);
-  if (mode_ == OpenMode::kReadOnly && fresh) throw DiskError(dir_ + ": no state here");
+void Engine::PrepareDirectory() const {
+  const bool empty = IsEmptyOrAbsent(dir_);
+  if (mode_ == OpenMode::kReadOnly && empty) throw DiskError(dir_ + ": no state here");
   std::error_code error;
   fs::create_directories(dir_, error);
-  if (!fresh && !fs::exists(fs::path(dir_) / "CURRENT") && mode_ == OpenMode::kReadWrite) {
-    // Another's files are left alone; but a first start that was cut short leaves some of ours.
-    const auto ours = [](const fs::path& p) {
-      const std::string name = p.filename().string();
-      return name == "LOCK" || name == "IDENTITY" || name.starts_with("LOG") ||
-             name.starts_with("MANIFEST-") || name.ends_with(".log") || name.ends_with(".dbtmp");
-    };
-    for (const auto& file : fs::directory_iterator(dir_)) {
-      if (!ours(file.path())) throw DiskError(dir_ + ": holds other files and no state");
+  if (empty || mode_ == OpenMode::kReadOnly || fs::exists(fs::path(dir_) / "CURRENT")) return;
+  // A first start that was cut short leaves some files of the library; others are left alone.
+  for (const auto& file : fs::directory_iterator(dir_)) {
+    if (!IsDatabaseFile(file.path())) {
+      throw DiskError(dir_ + ": holds other files and no state");
     }
   }
-  rocksdb::Options o;
-  if (options_.env) o.env = options_.env;
-  o.create_if_missing = mode_ == OpenMode::kReadWrite;
-  o.paranoid_checks = true;
-  o.wal_recovery_mode = mode_ == OpenMode::kReadWrite
-                            ? rocksdb::WALRecoveryMode::kAbsoluteConsistency
-                            : rocksdb::WALRecoveryMode::kTolerateCorruptedTailRecords;
-  o.track_and_verify_wals_in_manifest = mode_ == OpenMode::kReadWrite;
-  o.max_background_jobs = 2;
-  o.write_buffer_size = 16 << 20;
-  // Nothing is read while it serves: new rows are only kept in the order of their coming, and
-  // sorted when they go to a table.
-  o.memtable_factory = std::make_shared<rocksdb::VectorRepFactory>();
-  o.allow_concurrent_memtable_write = false;
-  o.max_open_files = mode_ == OpenMode::kReadOnly ? -1 : 256;
-  o.keep_log_file_num = 3;
-  o.info_log_level = rocksdb::InfoLogLevel::WARN_LEVEL;
-  o.compression = rocksdb::kNoCompression;
-  rocksdb::BlockBasedTableOptions table;
-  table.block_cache = rocksdb::NewLRUCache(8 << 20);
-  table.format_version = 5;
-  o.table_factory.reset(rocksdb::NewBlockBasedTableFactory(table));
-  rocksdb::DB* db = nullptr;
-  rocksdb::Status s;
-  if (mode_ == OpenMode::kReadOnly) {
-    // The owner may drop a file between our listing and our opening it: look again.
-    for (int round = 0; round < 20; ++round) {
-      s = rocksdb::DB::OpenForReadOnly(o, dir_, &db);
-      if (s.ok() || !(s.IsIOError() || s.IsPathNotFound())) break;
-      ::usleep(50000);
-    }
-    if (!s.ok()) CheckLogs();  // a better word for what is wrong, if there is one
-  } else {
-    // Whoever holds the lock is writing, and its logs must not be touched.
-    rocksdb::FileLock* lock = nullptr;
-    rocksdb::Env* env = o.env;
-    if (rocksdb::Status locked = env->LockFile(dir_ + "/LOCK", &lock); !locked.ok()) {
-      const std::string why = locked.ToString();
-      if (why.find("lock hold by") != std::string::npos ||
-          why.find("unavailable") != std::string::npos) {
-        throw DiskError(dir_ + ": in use by another process");
-      }
-      throw DiskError(dir_ + ": can't be used: " + OneLine(why));
-    }
-    try {
-      CheckLogs();
-    } catch (...) {
-      env->UnlockFile(lock);
-      throw;
-    }
-    env->UnlockFile(lock);
-    s = rocksdb::DB::Open(o, dir_, &db);
+}
+
+rocksdb::Status Engine::OpenReadOnly(rocksdb::DB** db) {
+  const rocksdb::Options options = DatabaseOptions(DatabaseAccess::kReadOnly, options_.env);
+  rocksdb::Status status;
+  // The owner may delete a file between the listing and its opening.
+  for (int attempt = 0; attempt < kReadOnlyOpenAttempts; ++attempt) {
+    status = rocksdb::DB::OpenForReadOnly(options, dir_, db);
+    if (status.ok() || !(status.IsIOError() || status.IsPathNotFound())) break;
+    ::usleep(kReadOnlyRetryDelayUs);
   }
-  if (!s.ok()) {
-    const std::string why = s.ToString();
-    if (why.find("/LOCK") != std::string::npos)
-      throw DiskError(dir_ + ": in use by another process");
-    throw DiskError(dir_ + ": " + OneLine(why));
+  if (!status.ok()) CheckLogs(dir_);  // names the damaged file, if that is the reason
+  return status;
+}
+
+rocksdb::Status Engine::OpenReadWrite(rocksdb::DB** db) {
+  const rocksdb::Options options = DatabaseOptions(DatabaseAccess::kReadWrite, options_.env);
+  {
+    // Another process that holds the lock is writing: its logs must not be touched.
+    const DirectoryLock lock(options.env, dir_);
+    for (std::string& warning : RecoverLogs(dir_)) notes_.push_back(std::move(warning));
   }
-  db_.reset(db);
-  std::string meta;
+  return rocksdb::DB::Open(options, dir_, db);
+}
+
+void Engine::LoadMetadata() {
+  std::string metadata;
   rocksdb::ReadOptions read;
   read.verify_checksums = true;
-  s = db_->Get(read, kMeta, &meta);
-  if (s.ok()) {
-    const MetaRow row = Unpack<MetaRow>(kMeta, meta);
-    writes_ = row.writes;
-    epoch_ = row.epoch;
-    last_lease_ = row.last_lease;
-    compacted_ = row.compacted;
-  } else if (!s.IsNotFound()) {
-    throw DiskError(dir_ + ": " + OneLine(s.ToString()));
-  }
+  const rocksdb::Status status = db_->Get(read, kMetadataKey, &metadata);
+  if (status.IsNotFound()) return;
+  if (!status.ok()) throw DiskError(dir_ + ": " + OneLine(status.ToString()));
+  const MetaRow row = Unpack<MetaRow>(kMetadataKey, metadata);
+  writes_ = row.writes;
+  epoch_ = row.epoch;
+  last_lease_ = row.last_lease;
+  compacted_ = row.compacted;
 }
 
 StateImage Engine::Load() {
@@ -407,7 +259,7 @@
             : MetaRow{epoch_, last_lease_, compacted_, expected_};
   Put(&out, meta);
   if (batch) PutBatch(&out, *batch);
-  if (!note.empty()) out.Put(kNote, note);
+  if (!note.empty()) out.Put(kOwnerMetadataKey, note);
   // Dropping old rows by range costs later reads something, so it is done seldom.
   const bool trim = meta.compacted > trimmed_ + kMinChangeLogEntries / 4;
   if (trim) out.DeleteRange("c", ChangesKey(meta.compacted + 1));
@@ -432,7 +284,7 @@
   }
   PutLog(&out, image.change_log);
   Put(&out, MetaRow{image.revision, image.last_lease_id, image.compacted_revision, expected_});
-  out.Put(kNote, note);
+  out.Put(kOwnerMetadataKey, note);
   const WriteOutcome written = Commit(&out);
   if (written != WriteOutcome::kDurable) return written;
   epoch_ = image.revision;
@@ -446,7 +298,7 @@
   if (!db_) return note;
   rocksdb::ReadOptions read;
   read.verify_checksums = true;
-  const rocksdb::Status s = db_->Get(read, kNote, &note);
+  const rocksdb::Status s = db_->Get(read, kOwnerMetadataKey, &note);
   if (!s.ok() && !s.IsNotFound()) throw DiskError(dir_ + ": " + OneLine(s.ToString()));
   return s.ok() ? note : std::string();
 }
--- a/src/store/disk/engine.h
+++ b/src/store/disk/engine.h
@@ -10,26 +10,21 @@
 #include <cstdint>
 #include <functional>
 #include <memory>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
+#include "store/disk/disk_error.h"
 #include "store/state_machine.h"
 
 namespace rocksdb {
 class DB;
 class Env;
+class Status;
 class WriteBatch;
 }  // namespace rocksdb
 
 namespace badgershore::store {
 
-// What is wrong, in one line.
-class DiskError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
 struct EngineOptions {
   // Changes are refused while the file system has less room than this, so that a full disk is
   // met before a write begins and not in the middle of one.
@@ -69,7 +64,10 @@
 
  private:
   void Open();
-  void CheckLogs();
+  void PrepareDirectory() const;
+  rocksdb::Status OpenReadOnly(rocksdb::DB** db);
+  rocksdb::Status OpenReadWrite(rocksdb::DB** db);
+  void LoadMetadata();
   WriteOutcome Commit(rocksdb::WriteBatch* out);
 
   std::string dir_;
--- /dev/null
+++ b/src/store/disk/log_recovery.cpp
@@ -0,0 +1,95 @@
+#include "store/disk/log_recovery.h"
+
+#include <fcntl.h>
+#include <unistd.h>
+
+#include <algorithm>
+#include <cstdint>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+#include <tuple>
+#include <utility>
+
+#include "store/disk/disk_error.h"
+#include "store/disk/log_check.h"
+
+namespace badgershore::store {
+namespace {
+
+namespace fs = std::filesystem;
+
+struct LogFile {
+  uint64_t number = 0;  // the manifest: 0
+  fs::path path;
+  bool IsManifest() const { return path.extension() != ".log"; }
+};
+
+std::string ReadFile(const fs::path& path) {
+  std::ifstream in(path, std::ios::binary);
+  std::ostringstream bytes;
+  bytes << in.rdbuf();
+  return std::move(bytes).str();
+}
+
+// The manifest that CURRENT names, then the write-ahead logs, oldest first.
+std::vector<LogFile> ListLogs(const std::string& dir) {
+  std::vector<LogFile> logs;
+  std::error_code error;
+  for (const auto& file : fs::directory_iterator(dir, error)) {
+    if (file.path().extension() != ".log") continue;
+    const std::string name = file.path().filename().string();
+    logs.push_back({std::strtoull(name.c_str(), nullptr, 10), file.path()});
+  }
+  std::sort(logs.begin(), logs.end(), [](const LogFile& a, const LogFile& b) {
+    return std::tie(a.number, a.path) < std::tie(b.number, b.path);
+  });
+  std::ifstream current(fs::path(dir) / "CURRENT");
+  std::string manifest;
+  if (current && std::getline(current, manifest) &&
+      fs::is_regular_file(fs::path(dir) / manifest, error)) {
+    logs.insert(logs.begin(), {0, fs::path(dir) / manifest});
+  }
+  return logs;
+}
+
+void Truncate(const fs::path& path, uint64_t size, const std::string& where) {
+  const int fd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
+  const bool cut = fd >= 0 && ::ftruncate(fd, static_cast<off_t>(size)) == 0 && ::fsync(fd) == 0;
+  if (fd >= 0) ::close(fd);
+  if (!cut) throw DiskError(where + ": a torn end can't be cut");
+}
+
+enum class TornEnd { kKeep, kCut };
+
+// Only the newest write-ahead log may have a torn end: the others were synced whole before a newer
+// one was begun. A torn end of the manifest names nothing that was acknowledged.
+std::vector<std::string> WalkLogs(const std::string& dir, TornEnd torn_end) {
+  std::vector<std::string> warnings;
+  const std::vector<LogFile> logs = ListLogs(dir);
+  for (const LogFile& log : logs) {
+    const LogCheck check = CheckLog(ReadFile(log.path));
+    if (check.state == LogCheck::State::kWhole) continue;
+    const std::string where = log.path.string() + ": byte " + std::to_string(check.bad_at);
+    const bool is_newest = &log == &logs.back();
+    if (check.state == LogCheck::State::kDamaged || (!is_newest && !log.IsManifest())) {
+      throw DiskError(where + ": damaged; restore a snapshot");
+    }
+    if (torn_end == TornEnd::kKeep || log.IsManifest()) continue;
+    const uint64_t torn_bytes = fs::file_size(log.path) - check.good_bytes;
+    warnings.push_back(where + ": a torn end of " + std::to_string(torn_bytes) + " bytes was cut");
+    Truncate(log.path, check.good_bytes, where);
+  }
+  return warnings;
+}
+
+}  // namespace
+
+void CheckLogs(const std::string& dir) { WalkLogs(dir, TornEnd::kKeep); }
+
+std::vector<std::string> RecoverLogs(const std::string& dir) {
+  return WalkLogs(dir, TornEnd::kCut);
+}
+
+}  // namespace badgershore::store
