--- a/src/core/leader/agent_client.h
+++ b/src/core/leader/agent_client.h
@@ -4,16 +4,16 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 
 namespace badgershore {
 
 // Calls agents without waiting for their next heartbeat: to stop tasks and to probe whether they
 // are alive. Tasks are never started this way.
-class AgentClient : public Part {
+class AgentClient : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Probes that may begin in one tick. Hundreds at once after a failover can keep a slow leader
   // busy for longer than its lease.
--- a/src/core/leader/cloud_inventory.h
+++ b/src/core/leader/cloud_inventory.h
@@ -5,15 +5,15 @@
 #include <unordered_set>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 
 namespace badgershore {
 
 // Polls the cloud, and keeps the machine types and the machine table in step with its answers.
-class CloudInventory : public Part {
+class CloudInventory : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Sends the polls that are due.
   void Tick(Micros now);
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 #include "core/placement/guardrails.h"
@@ -16,9 +16,9 @@
 namespace badgershore {
 
 // Binds waiting tasks to machines' queues and starts queued tasks. Gangs bypass it.
-class Dispatch : public Part {
+class Dispatch : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Binds waiting tasks, job by job in turns, as far as the budget for looking at machines goes;
   // the rest is bound by later calls.
--- a/src/core/leader/failure_detector.h
+++ b/src/core/leader/failure_detector.h
@@ -4,7 +4,7 @@
 #include <map>
 #include <string>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -12,9 +12,9 @@
 
 // Checks all machines in each tick: expires agents' leases, probes silent machines, releases those
 // that have failed and saves tasks from announced preemptions.
-class FailureDetector : public Part {
+class FailureDetector : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   void Tick(Micros now);
   // An agent has sent a heartbeat.
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -42,7 +42,7 @@
 }  // namespace
 
 FairShare::FairShare(const LeaderContext* context)
-    : Part(context),
+    : LeaderComponent(context),
       shares_(settings().teams.size()),
       preempted_(settings().teams.size()),
       stopping_(settings().teams.size()) {}
--- a/src/core/leader/fair_share.h
+++ b/src/core/leader/fair_share.h
@@ -4,7 +4,7 @@
 
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -12,7 +12,7 @@
 
 // Compares jobs by their teams' shares, and preempts tasks of teams above their guarantee where
 // another team is short of its own.
-class FairShare : public Part {
+class FairShare : public LeaderComponent {
  public:
   explicit FairShare(const LeaderContext* context);
 
--- a/src/core/leader/fault_attribution.h
+++ b/src/core/leader/fault_attribution.h
@@ -1,7 +1,7 @@
 // Attribution of task failures to machines or to jobs.
 #pragma once
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -10,9 +10,9 @@
 // Decides whether a failed task's machine or its job is at fault, from the jobs that fail on one
 // machine and the machines on which one job fails. Nothing is recorded: a new leader learns it
 // again from one round of the job's tasks.
-class FaultAttribution : public Part {
+class FaultAttribution : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   struct Attribution {
     Micros retry_delay;             // before the task may start again
--- a/src/core/leader/gang_placement.h
+++ b/src/core/leader/gang_placement.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -15,9 +15,9 @@
 std::vector<std::string> CandidateZones(const JobSpec& spec, const PlatformSettings& settings);
 
 // Puts a gang's waiting members on machines: all of them or none.
-class GangPlacement : public Part {
+class GangPlacement : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Places all waiting members and releases the gang's reservation; their starts go out with the
   // machines' next reports. False, and nothing has changed, where not all of them fit.
--- a/src/core/leader/gang_preemption.h
+++ b/src/core/leader/gang_preemption.h
@@ -3,7 +3,7 @@
 
 #include <optional>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -11,9 +11,9 @@
 
 // Decides which tasks a gang may preempt and what that costs, and preempts them. Tasks that
 // checkpoint are given the time to save. Gangs are never preempted.
-class GangPreemption : public Part {
+class GangPreemption : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // The cost, in CPU-seconds, of giving the machine to members of the gang: lost run time and the
   // transfer of the image. Empty where not even one member would fit. `after_gangs`: the gang waits
--- a/src/core/leader/gang_queue.h
+++ b/src/core/leader/gang_queue.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/jobs.h"
 
 namespace badgershore {
@@ -21,9 +21,9 @@
 
 // Orders gangs by rank, then shortest estimate first, with aging. Shortest first alone would starve
 // the largest gangs, so every team regularly gives a priority turn to its largest old one.
-class GangQueue : public Part {
+class GangQueue : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // The gangs to serve at `now`. May pass a team's priority turn to another gang.
   GangOrder Order(Micros now);
--- a/src/core/leader/gang_reservations.h
+++ b/src/core/leader/gang_reservations.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -15,9 +15,9 @@
 // enough for a large member, so a gang would wait for ever without a reservation. A gang reserves
 // machines for all of its missing members or none: two gangs that each held half of what they need
 // would wait for each other.
-class GangReservations : public Part {
+class GangReservations : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Replaces the gang's reservation by the machines that cost least to clear, and preempts lower
   // work there. A prioritized gang may also reserve machines where other gangs run: it waits for
--- a/src/core/leader/gang_scheduler.h
+++ b/src/core/leader/gang_scheduler.h
@@ -4,16 +4,16 @@
 #include <vector>
 
 #include "core/leader/gang_queue.h"
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/jobs.h"
 
 namespace badgershore {
 
 // Serves the gangs in the order of GangQueue: starts and ends their attempts, reserves machines for
 // those that wait and preempts for those that their team's limit blocks.
-class GangScheduler : public Part {
+class GangScheduler : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   void Tick(Micros now);
   // Ends the gang's attempt: withdraws members whose start has not been sent and stops the others
--- a/src/core/leader/heartbeat_handler.h
+++ b/src/core/leader/heartbeat_handler.h
@@ -3,15 +3,15 @@
 
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 
 namespace badgershore {
 
 // Decides how each heartbeat is answered and keeps the ones whose answer has to wait.
-class HeartbeatHandler : public Part {
+class HeartbeatHandler : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   enum class Outcome {
     kAnswer,       // answer now, with the returned commands
--- a/src/core/leader/heartbeat_processor.h
+++ b/src/core/leader/heartbeat_processor.h
@@ -4,7 +4,7 @@
 #include <set>
 #include <utility>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -17,9 +17,9 @@
 
 // Updates a machine and the jobs on it from what a heartbeat proves: the agent is alive in this
 // epoch, the listed tasks are in these phases, and tasks that it no longer lists have ended.
-class HeartbeatProcessor : public Part {
+class HeartbeatProcessor : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // False: the heartbeat is older than the last one and changes nothing.
   bool Process(Micros now, Machine* machine, const Heartbeat& heartbeat, HeartbeatSource source);
--- a/src/core/leader/job_table.h
+++ b/src/core/leader/job_table.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/jobs.h"
 
 namespace badgershore {
@@ -16,9 +16,9 @@
 
 // Owns the jobs that are not over. Follows their durable records, and keeps what of each job is
 // waiting, done or being cancelled.
-class JobTable : public Part {
+class JobTable : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
   using Jobs = std::map<std::string, std::unique_ptr<Job>>;  // by id
 
   const Jobs& jobs() const { return jobs_; }
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -5,19 +5,18 @@
 namespace badgershore {
 namespace {
 
-// Ticks come every tenth of a second; after such a gap this process has stood still, or its
-// machine has.
-constexpr Micros kStoodStill = Seconds(1);
+// Ticks come every 100 ms: a longer gap between two means that the process was stalled.
+constexpr Micros kStallThreshold = Seconds(1);
 
-// A watch on the jobs without news is answered after so long: how old the knowledge of
-// cancellations gets while nothing happens, for two requests a second.
-constexpr Micros kNewsAtLeast = Millis(500);
+// A watch without changes is answered after this long, which bounds how old the knowledge of
+// cancellations is while nothing changes.
+constexpr Micros kJobWatchTimeout = Millis(500);
 
-constexpr Micros kLoadPause = Millis(300);
+constexpr Micros kLoadRetryDelay = Millis(300);
 
-// So long a report waits for the records to be read, and so many of them.
-constexpr Micros kEarlyPatience = Seconds(2);
-constexpr size_t kMostEarly = 4096;
+// Heartbeats that arrive before the records are read.
+constexpr Micros kEarlyHeartbeatTimeout = Seconds(2);
+constexpr size_t kMaxEarlyHeartbeats = 4096;
 
 }  // namespace
 
@@ -46,8 +45,13 @@
       heartbeat_handler_(&context_),
       fair_share_(&context_),
       stuck_job_detector_(&context_) {
-  context_.began = ticked_at_ = now;
+  context_.began = last_tick_at_ = now;
   context_.began_ms = time_of_day_ms;
+  ConnectComponents();
+  FollowJobRecords();
+}
+
+void Leader::ConnectComponents() {
   context_.scaler = &scaler_;
   context_.fault_attribution = &fault_attribution_;
   context_.job_table = &job_table_;
@@ -71,7 +75,11 @@
   context_.heartbeat_handler = &heartbeat_handler_;
   context_.fair_share = &fair_share_;
   context_.stuck_job_detector = &stuck_job_detector_;
-  jobs_mirror_ = std::make_unique<KeyRangeCache>(
+}
+
+// The authority rests on the cache, which knows up to when cancellations are known.
+void Leader::FollowJobRecords() {
+  jobs_cache_ = std::make_unique<KeyRangeCache>(
       context_.outbox, keys::kJob,
       [this](Micros t, const Entry& e) { job_table_.ApplyJobRecord(t, e); },
       [this](Micros) {
@@ -80,12 +88,12 @@
         LoadPrefix(keys::kProgress, "");
         LoadPrefix(keys::kFleet, "");
         if (quota_shares_.alone()) return;
-        ++loading_;
+        ++pending_loads_;
         LoadPrefix(keys::kLimits, "");
       },
-      kNewsAtLeast);
+      kJobWatchTimeout);
   authority_ = std::make_unique<LeaderAuthority>(
-      context_.election, jobs_mirror_.get(), context_.settings->cancel_deadline,
+      context_.election, jobs_cache_.get(), context_.settings->cancel_deadline,
       context_.settings->agent_lease, context_.options->lease);
   context_.authority = authority_.get();
 }
@@ -99,19 +107,19 @@
   op.start_after = after;
   context_.outbox->SendState(op, [=, this, alive = context_.alive](Micros now, StateResponse& r) {
     if (!*alive) return;
-    // Not at once: in an outage that would use up the node's requests, and its users' with them.
-    if (!r.ok()) return load_again_.push_back({now + kLoadPause, prefix, after});
+    // Not at once: in an outage retries would use up the request rate that users need.
+    if (!r.ok()) return failed_loads_.push_back({now + kLoadRetryDelay, prefix, after});
     for (const Entry& e : r.entries) {
       record_writer_.Load(now, e);
       quota_shares_.Load(e);
     }
     if (r.has_more && !r.entries.empty()) return LoadPrefix(prefix, r.entries.back().key);
-    Loaded(now);
+    OnPrefixLoaded(now);
   });
 }
 
-void Leader::Loaded(Micros now) {
-  if (--loading_ > 0) return;
+void Leader::OnPrefixLoaded(Micros now) {
+  if (--pending_loads_ > 0) return;
   ready_ = true;
   quota_shares_.Begin(now);
   context_.outbox->Info("term " + std::to_string(context_.election->term()) +
@@ -120,15 +128,16 @@
   for (auto& [id, job] : job_table_.jobs()) {
     if (job->remaining() == 0) record_writer_.PersistJobEnd(id);
   }
-  AnswerEarly(now);
-  Tick(now);  // which begins to ask the unresolved machines
+  AnswerEarlyHeartbeats(now);
+  Tick(now);  // starts the reconciliation of machines
 }
 
-void Leader::AnswerEarly(Micros now) {
-  for (EarlyReport& e : std::exchange(early_, {})) {
+void Leader::AnswerEarlyHeartbeats(Micros now) {
+  for (EarlyHeartbeat& e : std::exchange(early_heartbeats_, {})) {
     HeartbeatResponse answer;
-    answer.request_id = e.token;
-    const HeartbeatOutcome outcome = HandleHeartbeat(now, e.token, e.report, &answer.commands);
+    answer.request_id = e.request_id;
+    const HeartbeatOutcome outcome =
+        HandleHeartbeat(now, e.request_id, e.heartbeat, &answer.commands);
     if (outcome == HeartbeatOutcome::kAnswerLater) continue;
     if (outcome == HeartbeatOutcome::kAnswer) {
       answer.status = 200;
@@ -140,41 +149,56 @@
 }
 
 void Leader::RejectPending() {
-  for (const EarlyReport& e : std::exchange(early_, {})) {
-    context_.outbox->effects.heartbeat_responses.push_back({e.token, 503, "", 0, {}});
+  for (const EarlyHeartbeat& e : std::exchange(early_heartbeats_, {})) {
+    context_.outbox->effects.heartbeat_responses.push_back({e.request_id, 503, "", 0, {}});
   }
   heartbeat_handler_.RejectPending();
 }
 
-Leader::HeartbeatOutcome Leader::HandleHeartbeat(Micros now, RequestId token,
-                                                 const Heartbeat& report,
-                                                 std::vector<Command>* orders) {
+Leader::HeartbeatOutcome Leader::HandleHeartbeat(Micros now, RequestId request_id,
+                                                 const Heartbeat& heartbeat,
+                                                 std::vector<Command>* commands) {
   if (!ready_) {
-    if (early_.size() >= kMostEarly) return HeartbeatOutcome::kReject;
-    early_.push_back({now, token, report});
+    if (early_heartbeats_.size() >= kMaxEarlyHeartbeats) return HeartbeatOutcome::kReject;
+    early_heartbeats_.push_back({now, request_id, heartbeat});
     return HeartbeatOutcome::kAnswerLater;
   }
-  return heartbeat_handler_.Handle(now, token, report, orders);
+  return heartbeat_handler_.Handle(now, request_id, heartbeat, commands);
 }
 
 void Leader::Tick(Micros now) {
-  jobs_mirror_->Tick(now);
-  const Micros gap = now - std::exchange(ticked_at_, now);
+  jobs_cache_->Tick(now);
+  const Micros gap = now - std::exchange(last_tick_at_, now);
+  RetryFailedLoads(now);
+  RejectExpiredEarlyHeartbeats(now);
+  if (!ready_) return;
+  if (gap > kStallThreshold) failure_detector_.OnProcessStall(now);
+  failure_detector_.Tick(now);
+  if (!context_.election->leads()) return;
+  Schedule(now);
+  assert(VerifyCounts().empty());
+}
+
+void Leader::RetryFailedLoads(Micros now) {
   std::vector<Load> due;
-  for (size_t i = load_again_.size(); i-- > 0;) {
-    if (now < load_again_[i].at) continue;
-    due.push_back(load_again_[i]);
-    load_again_.erase(load_again_.begin() + static_cast<long>(i));
+  for (size_t i = failed_loads_.size(); i-- > 0;) {
+    if (now < failed_loads_[i].at) continue;
+    due.push_back(failed_loads_[i]);
+    failed_loads_.erase(failed_loads_.begin() + static_cast<long>(i));
   }
   for (const Load& load : due) LoadPrefix(load.prefix, load.after);
-  while (!early_.empty() && now - early_.front().at > kEarlyPatience) {
-    context_.outbox->effects.heartbeat_responses.push_back({early_.front().token, 503, "", 0, {}});
-    early_.pop_front();
+}
+
+void Leader::RejectExpiredEarlyHeartbeats(Micros now) {
+  while (!early_heartbeats_.empty() &&
+         now - early_heartbeats_.front().at > kEarlyHeartbeatTimeout) {
+    context_.outbox->effects.heartbeat_responses.push_back(
+        {early_heartbeats_.front().request_id, 503, "", 0, {}});
+    early_heartbeats_.pop_front();
   }
-  if (!ready_) return;
-  if (gap > kStoodStill) failure_detector_.OnProcessStall(now);
-  failure_detector_.Tick(now);
-  if (!context_.election->leads()) return;
+}
+
+void Leader::Schedule(Micros now) {
   quota_shares_.Tick(now);
   job_table_.ExpirePendingCancellations(now);
   job_table_.MarkStarved(now);
@@ -188,7 +212,6 @@
   heartbeat_handler_.AnswerReady(now);
   record_writer_.WriteBatch(now);
   provisioner_.Tick(now);
-  assert(VerifyCounts().empty());
 }
 
 }  // namespace badgershore
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -1,5 +1,6 @@
-// One term: everything that the leading controller knows and decides, in parts that each own what
-// they name. It reads the durable records, then answers reports and ticks its parts.
+// One term of leadership: everything that the leader knows and decides, in components that each own
+// their state (see leader_component.h). It loads the durable records, then answers heartbeats and
+// ticks its components in a fixed order.
 #pragma once
 
 #include <deque>
@@ -20,8 +21,8 @@
 #include "core/leader/heartbeat_handler.h"
 #include "core/leader/heartbeat_processor.h"
 #include "core/leader/job_table.h"
+#include "core/leader/leader_component.h"
 #include "core/leader/machine_table.h"
-#include "core/leader/part.h"
 #include "core/leader/provisioner.h"
 #include "core/leader/quota_checker.h"
 #include "core/leader/quota_reservations.h"
@@ -37,7 +38,7 @@
 
 class Leader {
  public:
-  // `context`: the outside; began, and the parts, are filled in here.
+  // `context` names what is outside of the term; its start and its components are set here.
   Leader(LeaderContext context, Micros now, int64_t time_of_day_ms);
   ~Leader();
 
@@ -79,28 +80,33 @@
   std::string VerifyCounts() const { return usage_accounting_.VerifyCounts(); }
 
  private:
+  void ConnectComponents();
+  void FollowJobRecords();
   void LoadPrefix(const std::string& prefix, const std::string& after);
-  void Loaded(Micros now);
-  void AnswerEarly(Micros now);
+  void OnPrefixLoaded(Micros now);
+  void AnswerEarlyHeartbeats(Micros now);
+  void RetryFailedLoads(Micros now);
+  void RejectExpiredEarlyHeartbeats(Micros now);
+  void Schedule(Micros now);
 
   LeaderContext context_;
-  Micros ticked_at_{-1};
+  Micros last_tick_at_{-1};
   bool ready_ = false;
   bool jobs_loaded_ = false;
-  int loading_ = 2;
+  int pending_loads_ = 2;
   struct Load {
     Micros at;
     std::string prefix, after;
   };
-  std::vector<Load> load_again_;
-  std::unique_ptr<KeyRangeCache> jobs_mirror_;
+  std::vector<Load> failed_loads_;
+  std::unique_ptr<KeyRangeCache> jobs_cache_;
   std::unique_ptr<LeaderAuthority> authority_;
-  struct EarlyReport {
+  struct EarlyHeartbeat {
     Micros at;
-    RequestId token = 0;
-    Heartbeat report;
+    RequestId request_id = 0;
+    Heartbeat heartbeat;
   };
-  std::deque<EarlyReport> early_;  // came before the records were read
+  std::deque<EarlyHeartbeat> early_heartbeats_;  // arrived before the records were read
   Autoscaler scaler_;
   FaultAttribution fault_attribution_;
   JobTable job_table_;
--- a/src/core/leader/part.h
+++ b/src/core/leader/leader_component.h
@@ -1,5 +1,5 @@
-// What the parts of a term have in common: the outside, and each other's calls. A part's state is
-// its own; what others may know or bring about is in its public calls.
+// The base of a leader's components: access to what is outside of the term and to each other.
+// A component's state is its own; others read and change it through its public functions alone.
 #pragma once
 
 #include <functional>
@@ -49,7 +49,7 @@
   std::function<bool()> types_known;
 
   Micros began;
-  int64_t began_ms = 0;  // the time of day then
+  int64_t began_ms = 0;  // the time of day at `began`
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   AgentClient* agent_client = nullptr;
@@ -77,11 +77,11 @@
   StuckJobDetector* stuck_job_detector = nullptr;
 };
 
-class Part {
+class LeaderComponent {
  public:
-  explicit Part(const LeaderContext* context) : context_(context) {}
-  Part(const Part&) = delete;
-  Part& operator=(const Part&) = delete;
+  explicit LeaderComponent(const LeaderContext* context) : context_(context) {}
+  LeaderComponent(const LeaderComponent&) = delete;
+  LeaderComponent& operator=(const LeaderComponent&) = delete;
 
  protected:
   Outbox* outbox() const { return context_->outbox; }
@@ -118,7 +118,7 @@
   FairShare& fair_share() const { return *context_->fair_share; }
   StuckJobDetector& stuck_job_detector() const { return *context_->stuck_job_detector; }
 
-  // Wraps a continuation so that it does nothing after the term.
+  // Wraps a callback so that it does nothing after the term has ended.
   template <typename F>
   auto Guarded(F f) const {
     return [alive = context_->alive, f = std::move(f)](Micros now, auto& r) {
--- a/src/core/leader/machine_table.h
+++ b/src/core/leader/machine_table.h
@@ -5,15 +5,15 @@
 #include <memory>
 #include <string>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 
 namespace badgershore {
 
 // Owns the machines known in this term, from their first mention until the cloud has removed them.
-class MachineTable : public Part {
+class MachineTable : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
   using Machines = std::map<std::string, std::unique_ptr<Machine>>;  // by id
 
   const Machines& machines() const { return machines_; }
--- a/src/core/leader/machine_time_accounting.h
+++ b/src/core/leader/machine_time_accounting.h
@@ -3,16 +3,16 @@
 
 #include <map>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/placement/scaling_types.h"
 
 namespace badgershore {
 
 // Sums over the term. It only serves the log: no decision depends on it.
-class MachineTimeAccounting : public Part {
+class MachineTimeAccounting : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Adds the time since the last call, which is taken to be short.
   void Update(Micros now);
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -27,7 +27,7 @@
 }  // namespace
 
 Provisioner::Provisioner(const LeaderContext* context)
-    : Part(context), inventory_(context), machine_time_(context) {}
+    : LeaderComponent(context), inventory_(context), machine_time_(context) {}
 
 void Provisioner::Tick(Micros now) {
   inventory_.Tick(now);
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -6,8 +6,8 @@
 #include <vector>
 
 #include "core/leader/cloud_inventory.h"
+#include "core/leader/leader_component.h"
 #include "core/leader/machine_time_accounting.h"
-#include "core/leader/part.h"
 #include "core/model/fleet.h"
 #include "core/placement/scaling_types.h"
 
@@ -15,7 +15,7 @@
 
 // Owns the requests to the cloud. A scale-out is retried under its name while its outcome is
 // unknown; nothing is sent past the leader's lease.
-class Provisioner : public Part {
+class Provisioner : public LeaderComponent {
  public:
   explicit Provisioner(const LeaderContext* context);
 
--- a/src/core/leader/quota_checker.cpp
+++ b/src/core/leader/quota_checker.cpp
@@ -6,7 +6,7 @@
 namespace badgershore {
 
 QuotaChecker::QuotaChecker(const LeaderContext* context)
-    : Part(context), quotas_(settings().teams.size() + 1) {
+    : LeaderComponent(context), quotas_(settings().teams.size() + 1) {
   for (size_t i = 0; i < settings().teams.size(); ++i) {
     const Resources& limit = settings().teams[i].limit;
     quotas_[i + 1].limit = {limit.cpu > 0 ? limit.cpu : limits::kUnlimited,
--- a/src/core/leader/quota_checker.h
+++ b/src/core/leader/quota_checker.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -12,7 +12,7 @@
 
 // Knows each team's limit and guarantee and tells whether more tasks of a job fit within the
 // limit. Uncertain use counts as used by every team, so that a limit holds during failovers too.
-class QuotaChecker : public Part {
+class QuotaChecker : public LeaderComponent {
  public:
   explicit QuotaChecker(const LeaderContext* context);
 
--- a/src/core/leader/quota_reservations.cpp
+++ b/src/core/leader/quota_reservations.cpp
@@ -5,7 +5,7 @@
 namespace badgershore {
 
 QuotaReservations::QuotaReservations(const LeaderContext* context)
-    : Part(context), teams_(settings().teams.size() + 1) {}
+    : LeaderComponent(context), teams_(settings().teams.size() + 1) {}
 
 void QuotaReservations::Reserve(const Job& gang, int members) {
   if (!quota_checker().IsLimited(gang.team)) return;
--- a/src/core/leader/quota_reservations.h
+++ b/src/core/leader/quota_reservations.h
@@ -4,7 +4,7 @@
 #include <array>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/leader/usage_accounting.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
@@ -14,7 +14,7 @@
 // While a gang waits for its team's limit, other work of no higher priority leaves its reservation
 // free: smaller tasks would otherwise take each bit of quota that becomes free. The reservations
 // are made anew in each tick.
-class QuotaReservations : public Part {
+class QuotaReservations : public LeaderComponent {
  public:
   explicit QuotaReservations(const LeaderContext* context);
 
--- a/src/core/leader/quota_shares.cpp
+++ b/src/core/leader/quota_shares.cpp
@@ -42,7 +42,7 @@
 }
 
 QuotaShares::QuotaShares(const LeaderContext* context)
-    : Part(context), allowed_since_(settings().teams.size(), kNever) {
+    : LeaderComponent(context), allowed_since_(settings().teams.size(), kNever) {
   if (options().cells.cells.empty()) return;
   ledger_ = std::make_unique<limits::QuotaLedger>(QuotaSettings(options().cells));
   limits::TeamAmounts totals;
--- a/src/core/leader/quota_shares.h
+++ b/src/core/leader/quota_shares.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/jobs.h"
 #include "limits/quota_ledger.h"
 
@@ -19,7 +19,7 @@
 // Reads and writes the ledger's durable record, exchanges messages with the other cells' leaders,
 // and tells Occupancy what may be used. Does nothing in a deployment of one cell, where the limits
 // of the settings hold as they are.
-class QuotaShares : public Part {
+class QuotaShares : public LeaderComponent {
  public:
   explicit QuotaShares(const LeaderContext* context);
 
--- a/src/core/leader/reconciler.h
+++ b/src/core/leader/reconciler.h
@@ -3,7 +3,7 @@
 
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -11,9 +11,9 @@
 
 // Tracks the machines on which tasks of earlier leaders may run. A machine is reconciled once its
 // agent has answered this term, its lease has expired, or the cloud has removed it.
-class Reconciler : public Part {
+class Reconciler : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   const std::vector<Machine*>& unreconciled() const { return unreconciled_; }
   // The machine is on record, but its tasks are unknown.
--- a/src/core/leader/record_writer.cpp
+++ b/src/core/leader/record_writer.cpp
@@ -82,7 +82,7 @@
 };
 
 RecordWriter::RecordWriter(const LeaderContext* context, Micros now)
-    : Part(context),
+    : LeaderComponent(context),
       machine_pages_(keys::kFleet, MaxPageBytes(settings())),
       progress_pages_(keys::kProgress, MaxPageBytes(settings())),
       write_budget_(settings(), now) {}
--- a/src/core/leader/record_writer.h
+++ b/src/core/leader/record_writer.h
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/leader/write_budget.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
@@ -15,7 +15,7 @@
 namespace badgershore {
 
 // One transaction at a time, within the state service's rate limit and guarded by the term.
-class RecordWriter : public Part {
+class RecordWriter : public LeaderComponent {
  public:
   RecordWriter(const LeaderContext* context, Micros now);
 
--- a/src/core/leader/stuck_job_detector.h
+++ b/src/core/leader/stuck_job_detector.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -14,9 +14,9 @@
 
 // Logs why a stuck job waits (lines that begin with "stuck:"), corrects its counts and restarts a
 // gang that never comes together.
-class StuckJobDetector : public Part {
+class StuckJobDetector : public LeaderComponent {
  public:
-  using Part::Part;
+  using LeaderComponent::LeaderComponent;
 
   // Looks at all jobs every few seconds, and reports a stuck one once per timeout.
   void Tick(Micros now);
--- a/src/core/leader/usage_accounting.cpp
+++ b/src/core/leader/usage_accounting.cpp
@@ -6,7 +6,7 @@
 namespace badgershore {
 
 UsageAccounting::UsageAccounting(const LeaderContext* context)
-    : Part(context), teams_(settings().teams.size() + 1) {}
+    : LeaderComponent(context), teams_(settings().teams.size() + 1) {}
 
 Allocation* UsageAccounting::PlaceTask(Micros now, Machine* machine, Job* job, int task,
                                        uint64_t attempt) {
--- a/src/core/leader/usage_accounting.h
+++ b/src/core/leader/usage_accounting.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "core/leader/part.h"
+#include "core/leader/leader_component.h"
 #include "core/model/fleet.h"
 #include "core/model/jobs.h"
 
@@ -17,7 +17,7 @@
 // Keeps the resource use of machines and teams and the task counts of jobs. Every change to a
 // machine's allocations goes through this class, so that a team's use is known without looking at
 // the machines.
-class UsageAccounting : public Part {
+class UsageAccounting : public LeaderComponent {
  public:
   explicit UsageAccounting(const LeaderContext* context);
   using Allocations = std::map<std::pair<TaskRef, uint64_t>, Allocation>;
