--- a/src/check/cancel_model.cpp
+++ b/src/check/cancel_model.cpp
@@ -203,8 +203,8 @@
 
   std::vector<std::string> Events() const override {
     std::vector<std::string> out;
-    if (seconds < plan.seconds) out.push_back("second");
-    if (cancelled < Micros{} && !down) out.push_back("cancel");
+    if (seconds < plan.seconds) out.emplace_back("second");
+    if (cancelled < Micros{} && !down) out.emplace_back("cancel");
     if (troubles >= plan.troubles) return out;
     out.insert(out.end(),
                {"outage", "moves", "refuse a", "refuse b", "hang a", "hang b", "ends a", "ends b"});
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -137,8 +137,8 @@
 
   std::vector<std::string> Events() const override {
     std::vector<std::string> out;
-    if (times < plan.times) out.push_back("time -");
-    if (!orphans.empty()) out.push_back("orphan -");
+    if (times < plan.times) out.emplace_back("time -");
+    if (!orphans.empty()) out.emplace_back("orphan -");
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
       const std::string name = Name(i);
--- a/src/check/replication_model.cpp
+++ b/src/check/replication_model.cpp
@@ -65,7 +65,7 @@
 
   std::vector<std::string> Events() const override {
     std::vector<std::string> out;
-    if (times_ < plan_.times) out.push_back("time");
+    if (times_ < plan_.times) out.emplace_back("time");
     for (size_t i = 0; i < kReplicas; ++i) {
       const Host& host = hosts_[i];
       if (ends_ < plan_.ends) out.push_back("ends " + Name(i));
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -195,12 +195,12 @@
         {"refusal_memory_s", span(&o.refusal_memory, 0, 1e4)}}},
   };
   for (const auto& section : root) {
-    const std::string name = section.first.as<std::string>("");
+    const auto name = section.first.as<std::string>("");
     auto it = sections.find(name);
     if (it == sections.end()) throw Error(file + ": " + name + ": expected a known section");
     if (!section.second.IsMap()) throw Error(file + ": " + name + ": expected a map");
     for (const auto& entry : section.second) {
-      const std::string key = entry.first.as<std::string>("");
+      const auto key = entry.first.as<std::string>("");
       auto field = it->second.find(key);
       if (field == it->second.end()) {
         throw Error(file + ": " + name + "." + key + ": expected a known setting");
--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -146,7 +146,7 @@
 void YamlMap::NoOthers() const {
   if (!node_.IsMap()) return;
   for (const auto& entry : node_) {
-    const std::string key = entry.first.as<std::string>("");
+    const auto key = entry.first.as<std::string>("");
     if (asked_.contains(key)) continue;
     std::string known;
     for (const std::string& k : asked_) known += (known.empty() ? "" : ", ") + k;
--- a/src/core/leader/machine_time_accounting.cpp
+++ b/src/core/leader/machine_time_accounting.cpp
@@ -39,7 +39,7 @@
     usage->booting += seconds;
     return;
   }
-  const double machine_cpu = static_cast<double>(machine.type->size.cpu);
+  const auto machine_cpu = static_cast<double>(machine.type->size.cpu);
   if (!has_queued_work) {
     const Resources unused = machine.type->size - machine.Used();
     usage->no_queued_work += seconds * static_cast<double>(unused.cpu) / machine_cpu;
--- a/src/core/leader/record_writer.cpp
+++ b/src/core/leader/record_writer.cpp
@@ -1,6 +1,7 @@
 #include "core/leader/record_writer.h"
 
 #include <algorithm>
+#include <ranges>
 #include <utility>
 #include <vector>
 
@@ -357,8 +358,8 @@
 
 void RecordWriter::RequeueJobEnds(const Batch& batch, const StateResponse& response) {
   // From the back, so that they keep their order at the front of the queue.
-  for (auto id = batch.job_ends.rbegin(); id != batch.job_ends.rend(); ++id) {
-    if (IsJobEndUnaffected(response, *id)) job_ends_.push_front(*id);
+  for (const auto& job_end : std::ranges::reverse_view(batch.job_ends)) {
+    if (IsJobEndUnaffected(response, job_end)) job_ends_.push_front(job_end);
   }
   for (const std::string& id : batch.job_ends) {
     if (!IsJobEndUnaffected(response, id)) CheckJobEnd(id);
--- a/src/core/placement/array_demand.cpp
+++ b/src/core/placement/array_demand.cpp
@@ -25,7 +25,7 @@
               ArrayDemand* demand, CpuByTeam* parallel_cpu) {
   const JobSpec& spec = job.spec;
   const int open = job.WantedTasks() - job.placed;
-  const double cpu = static_cast<double>(spec.need.cpu);
+  const auto cpu = static_cast<double>(spec.need.cpu);
   const double runtime = std::max(1.0, spec.estimated_runtime.ToSeconds());
   const double work = (open + kRunningTaskRemainder * job.placed) * runtime * cpu;
   demand->waiting_work += open * runtime * cpu;
@@ -62,7 +62,7 @@
     if (!demand.typical || job->WantedTasks() > demand.typical->WantedTasks()) {
       demand.typical = job;
     }
-    const double cpu = static_cast<double>(job->spec.need.cpu);
+    const auto cpu = static_cast<double>(job->spec.need.cpu);
     demand.running_cpu += static_cast<double>(job->placed) * cpu;
     if (job->IsService()) {
       demand.service_cpu += static_cast<double>(job->remaining()) * cpu;
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -6,11 +6,11 @@
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
-#include <time.h>
 #include <unistd.h>
 
 #include <cerrno>
 #include <cstring>
+#include <ctime>
 #include <stdexcept>
 
 namespace badgershore::io {
--- a/src/io/mailbox.cpp
+++ b/src/io/mailbox.cpp
@@ -17,7 +17,7 @@
     throw std::runtime_error("socketpair failed");
   }
   *outside = fds[1];
-  return Socket(loop, fds[0]);
+  return {loop, fds[0]};
 }
 
 void WakeUp(int outside) {
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -44,7 +44,7 @@
   const View* view = Find(member);
   if (!view || view->state != State::kSuspect) return false;
   const double possible = static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
-  const double suspecting = static_cast<double>(view->suspected_by.size());
+  const auto suspecting = static_cast<double>(view->suspected_by.size());
   const double share = std::min(1.0, std::log(suspecting) / std::log(possible + 1));
   const double intervals =
       kMaxConfirmIntervals - (kMaxConfirmIntervals - kMinConfirmIntervals) * std::max(0.0, share);
--- a/src/rehearsal/site.cpp
+++ b/src/rehearsal/site.cpp
@@ -2,6 +2,7 @@
 
 #include <filesystem>
 #include <fstream>
+#include <utility>
 
 #include "wire/json.h"
 #include "wire/records.h"
@@ -20,9 +21,9 @@
 
 }  // namespace
 
-Site::Site(io::Loop* loop, const Scenario& scenario, SiteOptions options)
+Site::Site(io::Loop* loop, Scenario scenario, SiteOptions options)
     : loop_(loop),
-      scenario_(scenario),
+      scenario_(std::move(scenario)),
       options_(std::move(options)),
       cloud_addr_(site::FreeAddress()),
       states_(Addresses(static_cast<size_t>(options_.state_replicas))),
--- a/src/rehearsal/site.h
+++ b/src/rehearsal/site.h
@@ -24,7 +24,7 @@
 
 class Site : public Outside {
  public:
-  Site(io::Loop* loop, const Scenario& scenario, SiteOptions options);
+  Site(io::Loop* loop, Scenario scenario, SiteOptions options);
 
   // Ends when the scenario is over (`scenario` has jobs of its own) or at Stop; `over` is called
   // when no process is left.
--- a/src/scale/core/capacity.cpp
+++ b/src/scale/core/capacity.cpp
@@ -74,7 +74,7 @@
 std::string SlopeTable(const std::map<std::string, Fit>& fits) {
   std::string out;
   std::vector<std::string> head = WithTerms("measure", "R²");
-  head.push_back("left over");
+  head.emplace_back("left over");
   AddHead(head, &out);
   for (const auto& [measure, fit] : fits) {
     std::vector<std::string> cells = {measure, Short(fit.r_squared)};
--- a/src/scale/core/start_times.cpp
+++ b/src/scale/core/start_times.cpp
@@ -35,7 +35,7 @@
 void StartTimes::Started(const Event& event) {
   ++starts_;
   most_running_ = std::max(most_running_, ++running_);
-  const size_t second = static_cast<size_t>((event.at_us - first_us_) / kSecondUs);
+  const auto second = static_cast<size_t>((event.at_us - first_us_) / kSecondUs);
   if (second >= per_second_.size()) per_second_.resize(second + 1);
   ++per_second_[second];
   const auto found = jobs_.find(event.job);
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -30,7 +30,7 @@
 void CheckDescriptors(int workers) {
   rlimit limit{};
   ::getrlimit(RLIMIT_NOFILE, &limit);
-  const rlim_t wanted = static_cast<rlim_t>(workers * kDescriptorsPerWorker + kOtherDescriptors);
+  const auto wanted = static_cast<rlim_t>(workers * kDescriptorsPerWorker + kOtherDescriptors);
   if (limit.rlim_cur >= wanted) return;
   throw config::Error("file descriptors: expected at least " + std::to_string(wanted) +
                       " for this plan (ulimit -n), found " + std::to_string(limit.rlim_cur));
--- a/src/store/disk/engine.cpp
+++ b/src/store/disk/engine.cpp
@@ -55,9 +55,7 @@
   rocksdb::FileLock* lock_ = nullptr;
 };
 
-void Put(rocksdb::WriteBatch* out, const MetaRow& meta) {
-  out->Put(kMetadataKey, Pack(meta));
-}
+void Put(rocksdb::WriteBatch* out, const MetaRow& meta) { out->Put(kMetadataKey, Pack(meta)); }
 void PutItem(rocksdb::WriteBatch* out, const std::string& key, const VersionedValue& item) {
   out->Put("k" + key, Pack(ItemRow{item.version, item.lease, item.value}));
 }
@@ -155,7 +153,7 @@
   const rocksdb::Status status = db_->Get(read, kMetadataKey, &metadata);
   if (status.IsNotFound()) return;
   if (!status.ok()) throw DiskError(dir_ + ": " + OneLine(status.ToString()));
-  const MetaRow row = Unpack<MetaRow>(kMetadataKey, metadata);
+  const auto row = Unpack<MetaRow>(kMetadataKey, metadata);
   writes_ = row.writes;
   epoch_ = row.epoch;
   last_lease_ = row.last_lease;
@@ -181,7 +179,7 @@
         }
         break;
       case 'k': {
-        ItemRow row = Unpack<ItemRow>(key, value);
+        auto row = Unpack<ItemRow>(key, value);
         image.items.emplace_hint(image.items.end(), std::string(rest),
                                  VersionedValue{std::move(row.value), row.stamp, row.lease});
         break;
@@ -190,7 +188,7 @@
         image.leases[FromBigEndian(rest)] = Micros{Unpack<LeaseRow>(key, value).life};
         break;
       case 'm': {
-        const MetaRow row = Unpack<MetaRow>(key, value);
+        const auto row = Unpack<MetaRow>(key, value);
         image.revision = row.epoch;
         image.last_lease_id = row.last_lease;
         image.compacted_revision = row.compacted;
