--- /dev/null
+++ b/tests/guardrails_test.cpp
@@ -0,0 +1,67 @@
+// Size buckets and the dispatch to the machine that received least work of a bucket.
+#include "core/placement/guardrails.h"
+
+#include <gtest/gtest.h>
+
+namespace badgershore {
+namespace {
+
+TEST(Buckets, HaveOneRatio) {
+  JobSpec s;
+  const auto bucket = [&](double seconds) {
+    s.estimated_runtime = Seconds(seconds);
+    return SizeBucket(s, 2.0);
+  };
+  EXPECT_EQ(bucket(4), bucket(7.9));
+  EXPECT_EQ(bucket(8), bucket(4) + 1);
+  EXPECT_EQ(bucket(16), bucket(4) + 2);
+  s.kind = JobKind::kService;
+  EXPECT_EQ(bucket(4), kSizeBuckets - 1);
+}
+
+TEST(Dispatch, ChoosesTheMachineWithLeastWorkOfTheBucket) {
+  MachineType type;
+  type.size = {4000, 0, 8000};
+  Machine a, b;
+  a.type = b.type = &type;
+  a.dispatched_work.assign(kSizeBuckets, 0);
+  b.dispatched_work.assign(kSizeBuckets, 0);
+  Job job;
+  job.spec.estimated_runtime = Seconds(10);
+  job.spec.need = {1000, 0, 1000};
+  job.bucket = SizeBucket(job.spec, 2.0);
+  const auto bucket = static_cast<size_t>(job.bucket);
+  a.dispatched_work[bucket] = 100;
+  const std::vector<EligibleMachine> able = {{&a, type.size}, {&b, type.size}};
+  EXPECT_EQ(LeastWorkPolicy(job, able).Next()->machine, &b);
+  // What another bucket has received plays no part.
+  b.dispatched_work[bucket + 1] = 1e6;
+  EXPECT_EQ(LeastWorkPolicy(job, able).Next()->machine, &b);
+  const std::vector<EligibleMachine> none;
+  EXPECT_EQ(LeastWorkPolicy(job, none).Next(), nullptr);
+  // Each task counts at once: 100 of work are 40 tasks on b before a has its turn.
+  LeastWorkPolicy turns(job, able);
+  int on_b = 0;
+  while (turns.Next()->machine == &b) ++on_b;
+  EXPECT_EQ(on_b, 40);
+}
+
+TEST(Dispatch, MeasuresWorkByTheShareOfTheMachine) {
+  const Resources small{4000, 0, 8000}, large{32000, 0, 64000};
+  JobSpec s;
+  s.estimated_runtime = Seconds(10);
+  s.need = {1000, 0, 1000};
+  EXPECT_DOUBLE_EQ(NormalizedWork(s, small), 2.5);
+  EXPECT_DOUBLE_EQ(NormalizedWork(s, large), 0.3125);
+}
+
+TEST(Dispatch, InitializesANewMachineToTheMeanOfItsPeers) {
+  Machine a, b, fresh;
+  a.dispatched_work.assign(kSizeBuckets, 2.0);
+  b.dispatched_work.assign(kSizeBuckets, 4.0);
+  InitializeDispatchedWork(&fresh, {&a, &b});
+  EXPECT_DOUBLE_EQ(fresh.dispatched_work[0], 3.0);
+}
+
+}  // namespace
+}  // namespace badgershore
