--- a/tests/paged_records_test.cpp
+++ b/tests/paged_records_test.cpp
@@ -28,6 +28,8 @@
   EXPECT_EQ(pages.PutItem("n-4", 40, true, t), first);
 }
 
+// A write without a response may have been carried out, or may yet be: until its version is known
+// the page is left alone, or the next write's precondition would fail for ever.
 TEST(PagedRecords, RefreshesTheVersionAfterAWriteWithoutResponse) {
   PagedRecords pages("prog/", 100);
   PagedRecords::Page* page = pages.PutItem("job-1/0", 40, false, Seconds(1));
