--- a/src/core/leader/record_writer.cpp
+++ b/src/core/leader/record_writer.cpp
@@ -1,7 +1,6 @@
 #include "core/leader/record_writer.h"
 
 #include <algorithm>
-#include <ranges>
 #include <utility>
 #include <vector>
 
@@ -358,8 +357,8 @@
 
 void RecordWriter::RequeueJobEnds(const Batch& batch, const StateResponse& response) {
   // From the back, so that they keep their order at the front of the queue.
-  for (const auto& job_end : std::ranges::reverse_view(batch.job_ends)) {
-    if (IsJobEndUnaffected(response, job_end)) job_ends_.push_front(job_end);
+  for (auto job_end = batch.job_ends.rbegin(); job_end != batch.job_ends.rend(); ++job_end) {
+    if (IsJobEndUnaffected(response, *job_end)) job_ends_.push_front(*job_end);
   }
   for (const std::string& id : batch.job_ends) {
     if (!IsJobEndUnaffected(response, id)) CheckJobEnd(id);
