--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -54,7 +54,7 @@
       write(&all[i]);
       for (const limits::CellMessage& note : all[i].Messages()) {
         ++sum.notes;
-        sum.note_bytes += static_cast<double>(peer::Encode(note).size());
+        sum.note_bytes += static_cast<double>(peer::EncodeFrame(note).size());
         const auto to = static_cast<size_t>(std::stoi(note.to.substr(5)));
         all[to].OnMessage(note, now);
       }
--- a/src/adapters/cloud_client.cpp
+++ b/src/adapters/cloud_client.cpp
@@ -13,24 +13,24 @@
       rate_(settings.cloud_rps * 0.8),
       client_(loop, settings.cloud_addr, 4, http::Limits{8192, 16384, 1024 * 1024}) {}
 
-io::Task<CloudResponse> CloudClient::Run(CloudRequest op) {
+io::Task<CloudResponse> CloudClient::Send(CloudRequest request) {
   const Micros now = io::Loop::Now();
-  const Micros mine = std::max(now, next_);
-  next_ = mine + Seconds(1 / rate_);
-  if (mine > now) co_await loop_->Sleep(mine - now);
+  const Micros send_at = std::max(now, next_send_at_);
+  next_send_at_ = send_at + Seconds(1 / rate_);
+  if (send_at > now) co_await loop_->Sleep(send_at - now);
   // The process may have stood still between the decision and here.
-  if (io::Loop::Now() >= op.valid_until)
+  if (io::Loop::Now() >= request.valid_until)
     co_return CloudResponse{Outcome::kThrottled, {}, {}, {}, false};
-  wire::Call call = wire::FormatCloudCall(op);
+  wire::Call call = wire::FormatCloudCall(request);
   http::ClientAnswer answer = co_await client_.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
-  CloudResponse reply;
+  CloudResponse response;
   if (!answer.answered()) {
-    reply.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kThrottled
-                                                                            : Outcome::kUnknown;
-    co_return reply;
+    response.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kThrottled
+                                                                               : Outcome::kUnknown;
+    co_return response;
   }
-  co_return wire::ParseCloudAnswer(op, answer.status, answer.body);
+  co_return wire::ParseCloudAnswer(request, answer.status, answer.body);
 }
 
 }  // namespace badgershore::adapters
--- a/src/adapters/cloud_client.h
+++ b/src/adapters/cloud_client.h
@@ -1,4 +1,4 @@
-// The cloud's edge: rentals, returns, lists and types, within its rate.
+// HTTP client of the cloud.
 #pragma once
 
 #include "core/model/effects.h"
@@ -7,15 +7,17 @@
 
 namespace badgershore::adapters {
 
+// Spaces requests evenly within the cloud's rate limit.
 class CloudClient {
  public:
   CloudClient(io::Loop* loop, const PlatformSettings& settings);
-  io::Task<CloudResponse> Run(CloudRequest op);
+  // kThrottled also where the request was not sent, or not before its `valid_until`.
+  io::Task<CloudResponse> Send(CloudRequest request);
 
  private:
   io::Loop* loop_;
-  double rate_;
-  Micros next_;
+  double rate_;  // requests a second
+  Micros next_send_at_;
   http::Client client_;
 };
 
--- /dev/null
+++ b/src/adapters/controller_server.cpp
@@ -0,0 +1,276 @@
+#include "adapters/controller_server.h"
+
+#include <spdlog/spdlog.h>
+
+#include "core/model/settings.h"
+#include "wire/messages.h"
+
+namespace badgershore::adapters {
+namespace {
+
+constexpr Micros kTickInterval = Millis(100);
+constexpr Micros kLatencyLogInterval = Seconds(60);
+constexpr Micros kHandoverTimeout = Seconds(3);
+constexpr Micros kShutdownDelay = Seconds(1);  // answers and redirects go on meanwhile
+constexpr Micros kCommandTimeout = Seconds(3);
+constexpr Micros kJobRequestTimeout = Seconds(4);
+constexpr Micros kHeartbeatTimeout = Seconds(3);
+constexpr http::Limits kWorkerLimits{8192, 16384, 1024 * 1024};
+
+const std::string kJobsPath = "/work";
+const std::string kJobPrefix = "/work/";
+const std::string kCancelSuffix = "/withdraw";
+
+http::ServerAnswer ErrorAnswer(int status, const char* error) {
+  return {status, std::string("{\"error\":\"") + error + "\"}", status == 503 ? 1 : 0};
+}
+
+bool IsEmpty(const Effects& effects) {
+  return effects.log.empty() && effects.heartbeat_responses.empty() &&
+         effects.api_responses.empty() && effects.peer_statuses.empty() &&
+         effects.membership_messages.empty() && effects.cell_deliveries.empty() &&
+         effects.state_requests.empty() && effects.cloud_requests.empty() &&
+         effects.command_requests.empty();
+}
+
+void WriteLog(const std::vector<LogLine>& lines) {
+  for (const LogLine& line : lines) {
+    switch (line.level) {
+      case LogLine::Level::kError:
+        spdlog::error("{}", line.text);
+        break;
+      case LogLine::Level::kInfo:
+        spdlog::info("{}", line.text);
+        break;
+      case LogLine::Level::kDebug:
+        spdlog::debug("{}", line.text);
+        break;
+    }
+  }
+}
+
+// Where the request waits no longer its response is dropped.
+template <typename Response>
+void Deliver(const std::unordered_map<RequestId, io::Slot<Response>*>& pending,
+             std::vector<Response>* responses) {
+  for (Response& response : *responses) {
+    auto it = pending.find(response.request_id);
+    if (it != pending.end()) it->second->Set(std::move(response));
+  }
+}
+
+}  // namespace
+
+ControllerServer::ControllerServer(io::Loop* loop, const PlatformSettings& settings,
+                                   Options options)
+    : loop_(loop),
+      settings_(settings),
+      core_(settings, std::move(options)),
+      state_(loop, settings),
+      cloud_(loop, settings),
+      peers_(loop, settings,
+             {.on_peer_status =
+                  [this](const PeerStatus& status) {
+                    core_.OnPeerStatus(io::Loop::Now(), status);
+                    ApplyEffects();
+                  },
+              .on_cell_message =
+                  [this](const limits::CellMessage& message) {
+                    core_.OnCellMessage(io::Loop::Now(), message);
+                    ApplyEffects();
+                  },
+              .on_membership_message =
+                  [this](const membership::Message& message) {
+                    core_.OnMembershipMessage(io::Loop::Now(), message);
+                    ApplyEffects();
+                  }}),
+      server_(
+          loop, [this](http::Message request) { return Handle(std::move(request)); },
+          static_cast<size_t>(settings.quota_connections) * 7 / 10) {}
+
+Result<void> ControllerServer::Start() {
+  if (auto started = server_.Start(settings_.client_listen); !started) return started;
+  if (auto started = peers_.Start(); !started) return started;
+  io::Spawn(TickLoop());
+  return {};
+}
+
+void ControllerServer::Shutdown(std::function<void()> done) {
+  io::Spawn(RunShutdown(std::move(done)));
+}
+
+// After the handover workers that report here are sent to the new leader, and users' open requests
+// are answered.
+io::Task<void> ControllerServer::RunShutdown(std::function<void()> done) {
+  const Micros deadline = io::Loop::Now() + kHandoverTimeout;
+  core_.BeginHandover(io::Loop::Now());
+  ApplyEffects();
+  while (!core_.handover_done() && io::Loop::Now() < deadline) co_await loop_->Sleep(Millis(20));
+  co_await loop_->Sleep(kShutdownDelay);
+  done();
+}
+
+void ControllerServer::LogUserLatency() {
+  stats::Durations& waits = metrics_.user_waits;
+  if (waits.count() == 0) return;
+  spdlog::info("{} answers to users: half within {:.1f} ms, 95% within {:.1f} ms", waits.count(),
+               waits.Quantile(0.5) * 1000, waits.Quantile(0.95) * 1000);
+  waits.Reset();
+}
+
+io::Task<void> ControllerServer::TickLoop() {
+  latency_logged_at_ = io::Loop::Now();
+  for (;;) {
+    if (io::Loop::Now() - latency_logged_at_ > kLatencyLogInterval) {
+      latency_logged_at_ = io::Loop::Now();
+      LogUserLatency();
+    }
+    core_.Tick(io::Loop::Now(), io::Loop::TimeOfDayMs());
+    ApplyEffects();
+    co_await loop_->Sleep(kTickInterval);
+  }
+}
+
+void ControllerServer::ApplyEffects() {
+  // A request that ends at once feeds the core again; the outermost call goes on with its effects.
+  if (std::exchange(applying_effects_, true)) return;
+  for (;;) {
+    Effects effects = core_.TakeEffects();
+    if (IsEmpty(effects)) break;
+    WriteLog(effects.log);
+    DeliverResponses(&effects);
+    SendToPeers(effects);
+    StartRequests(&effects);
+  }
+  applying_effects_ = false;
+}
+
+void ControllerServer::DeliverResponses(Effects* effects) {
+  Deliver(pending_heartbeats_, &effects->heartbeat_responses);
+  Deliver(pending_job_requests_, &effects->api_responses);
+}
+
+void ControllerServer::SendToPeers(const Effects& effects) {
+  for (const PeerStatus& status : effects.peer_statuses) peers_.Send(status);
+  for (const membership::Message& message : effects.membership_messages) peers_.Send(message);
+  for (const CellDelivery& delivery : effects.cell_deliveries) peers_.Send(delivery);
+}
+
+void ControllerServer::StartRequests(Effects* effects) {
+  for (StateRequest& request : effects->state_requests) {
+    io::Spawn(SendStateRequest(std::move(request)));
+  }
+  for (CloudRequest& request : effects->cloud_requests) {
+    io::Spawn(SendCloudRequest(std::move(request)));
+  }
+  for (CommandRequest& request : effects->command_requests) {
+    io::Spawn(SendCommandRequest(std::move(request)));
+  }
+}
+
+io::Task<void> ControllerServer::SendStateRequest(StateRequest request) {
+  const RequestId id = request.id;
+  StateResponse response = co_await state_.Send(std::move(request));
+  core_.OnStateResponse(io::Loop::Now(), id, std::move(response));
+  ApplyEffects();
+}
+
+io::Task<void> ControllerServer::SendCloudRequest(CloudRequest request) {
+  ++metrics_.cloud_calls;
+  const RequestId id = request.id;
+  CloudResponse response = co_await cloud_.Send(std::move(request));
+  core_.OnCloudResponse(io::Loop::Now(), id, std::move(response));
+  ApplyEffects();
+}
+
+io::Task<void> ControllerServer::SendCommandRequest(CommandRequest request) {
+  ++metrics_.direct_calls;
+  const RequestId id = request.id;
+  http::Client client(loop_, request.endpoint, 0, kWorkerLimits);
+  std::string body = wire::FormatDirect(request);
+  http::ClientAnswer answer =
+      co_await client.Request("POST", "/do", std::move(body), kCommandTimeout);
+  CommandResponse response;
+  if (answer.answered()) {
+    response.status = answer.status;
+    response.heartbeat = wire::ParseReport(answer.body);
+  }
+  core_.OnCommandResponse(io::Loop::Now(), id, std::move(response));
+  ApplyEffects();
+}
+
+io::Task<http::ServerAnswer> ControllerServer::Handle(http::Message request) {
+  std::string path = request.target.substr(0, request.target.find('?'));
+  if (path == "/checkin") {
+    if (request.method != "POST") co_return ErrorAnswer(405, "POST only");
+    co_return co_await HandleHeartbeat(std::move(request));
+  }
+  if (path == "/healthz") {
+    if (core_.IsHealthy(io::Loop::Now())) co_return http::ServerAnswer{200, "{\"ok\":true}", 0};
+    co_return ErrorAnswer(503, "not ready");
+  }
+  if (path == "/metrics") co_return HandleMetrics();
+  if (path == kJobsPath || path.starts_with(kJobPrefix)) {
+    co_return co_await HandleJobRequest(std::move(request), std::move(path));
+  }
+  co_return ErrorAnswer(404, "no such path");
+}
+
+http::ServerAnswer ControllerServer::HandleMetrics() {
+  metrics_.state = state_.traffic();
+  return {200, metrics_.Text(core_.leads(), loop_->TakeLongestTurn()), 0};
+}
+
+io::Task<http::ServerAnswer> ControllerServer::HandleJobRequest(http::Message request,
+                                                                std::string path) {
+  const RequestId request_id = ++last_request_id_;
+  io::Slot<ApiResponse> slot(loop_);
+  std::string id = path.size() > kJobPrefix.size() ? path.substr(kJobPrefix.size()) : std::string();
+  const bool cancel = id.size() > kCancelSuffix.size() && id.ends_with(kCancelSuffix);
+  if (cancel) id.resize(id.size() - kCancelSuffix.size());
+  if (id.empty() || cancel) {
+    if (request.method != "POST") co_return ErrorAnswer(405, "POST only");
+  } else if (request.method != "GET") {
+    co_return ErrorAnswer(405, "GET only");
+  }
+  if (!id.empty() && !wire::ValidJobId(id)) co_return ErrorAnswer(404, "no such job");
+  pending_job_requests_[request_id] = &slot;
+  const Micros now = io::Loop::Now();
+  if (id.empty()) {
+    core_.OnSubmit(now, request_id, wire::ParseSubmission(request.body, io::Loop::TimeOfDayMs()));
+  } else if (cancel) {
+    core_.OnCancel(now, request_id, id);
+  } else {
+    core_.OnQuery(now, request_id, id);
+  }
+  ApplyEffects();
+  std::optional<ApiResponse> response = co_await slot.Wait(now + kJobRequestTimeout);
+  pending_job_requests_.erase(request_id);
+  metrics_.user_waits.Add((io::Loop::Now() - now).ToSeconds());
+  ++metrics_.user_requests;
+  if (!response) co_return ErrorAnswer(503, "no answer in time");
+  co_return http::ServerAnswer{response->status, wire::FormatAnswer(*response),
+                               response->retry_after_s};
+}
+
+io::Task<http::ServerAnswer> ControllerServer::HandleHeartbeat(http::Message request) {
+  const std::optional<Heartbeat> heartbeat = wire::ParseReport(request.body);
+  if (!heartbeat) co_return ErrorAnswer(400, "malformed report");
+  ++metrics_.reports;
+  metrics_.report_bytes += request.body.size();
+  const RequestId request_id = ++last_request_id_;
+  io::Slot<HeartbeatResponse> slot(loop_);
+  pending_heartbeats_[request_id] = &slot;
+  const Micros now = io::Loop::Now();
+  core_.OnHeartbeat(now, request_id, *heartbeat);
+  ApplyEffects();
+  std::optional<HeartbeatResponse> response = co_await slot.Wait(now + kHeartbeatTimeout);
+  pending_heartbeats_.erase(request_id);
+  if (!response) co_return ErrorAnswer(503, "no answer in time");
+  if (io::Loop::Now() >= response->valid_until) co_return ErrorAnswer(503, "the lease has ended");
+  std::string body = wire::FormatCheckinAnswer(*response);
+  metrics_.report_answer_bytes += body.size();
+  co_return http::ServerAnswer{response->status, std::move(body), 0};
+}
+
+}  // namespace badgershore::adapters
--- /dev/null
+++ b/src/adapters/controller_server.h
@@ -0,0 +1,63 @@
+// A running controller: the core on the event loop, with its network connections.
+#pragma once
+
+#include <functional>
+#include <memory>
+#include <string>
+#include <unordered_map>
+
+#include "adapters/cloud_client.h"
+#include "adapters/metrics.h"
+#include "adapters/state_client.h"
+#include "core/controller/controller.h"
+#include "error/error.h"
+#include "http/server.h"
+#include "peer/peer_transport.h"
+
+namespace badgershore::adapters {
+
+// Turns HTTP requests, peers' messages, responses and ticks into the core's inputs, and carries out
+// the effects. All of it runs on the loop's thread.
+class ControllerServer {
+ public:
+  ControllerServer(io::Loop* loop, const PlatformSettings& settings, Options options);
+  // Listens for users, workers and peers, and runs the core from then on.
+  [[nodiscard]] Result<void> Start();
+  // Hands leadership over, goes on answering for a second, and then calls `done`.
+  void Shutdown(std::function<void()> done);
+
+ private:
+  io::Task<void> RunShutdown(std::function<void()> done);
+  io::Task<void> TickLoop();
+  void LogUserLatency();
+
+  io::Task<http::ServerAnswer> Handle(http::Message request);
+  http::ServerAnswer HandleMetrics();
+  io::Task<http::ServerAnswer> HandleJobRequest(http::Message request, std::string path);
+  io::Task<http::ServerAnswer> HandleHeartbeat(http::Message request);
+
+  // Carries out the core's effects until there are none.
+  void ApplyEffects();
+  void DeliverResponses(Effects* effects);
+  void SendToPeers(const Effects& effects);
+  void StartRequests(Effects* effects);
+  io::Task<void> SendStateRequest(StateRequest request);
+  io::Task<void> SendCloudRequest(CloudRequest request);
+  io::Task<void> SendCommandRequest(CommandRequest request);
+
+  io::Loop* loop_;
+  PlatformSettings settings_;
+  Controller core_;
+  StateClient state_;
+  CloudClient cloud_;
+  peer::PeerTransport peers_;
+  http::Server server_;
+  Metrics metrics_;
+  Micros latency_logged_at_;
+  bool applying_effects_ = false;
+  RequestId last_request_id_ = 0;
+  std::unordered_map<RequestId, io::Slot<ApiResponse>*> pending_job_requests_;
+  std::unordered_map<RequestId, io::Slot<HeartbeatResponse>*> pending_heartbeats_;
+};
+
+}  // namespace badgershore::adapters
--- a/src/adapters/state_client.cpp
+++ b/src/adapters/state_client.cpp
@@ -12,10 +12,16 @@
 // A list or watch answer may be large, but a controller's memory is not.
 constexpr http::Limits kLimits{8 * 1024, 16 * 1024, 4 * 1024 * 1024};
 
+constexpr Micros kTokenTimeout = Seconds(1);
+constexpr int kMaxWaitingForToken = 200;
+// The service counts as down after so many unanswered requests and so long.
+constexpr int kDownAfterRequests = 3;
+constexpr Micros kDownAfter = Seconds(2);
+
 StateResponse Refused() {
-  StateResponse r;
-  r.outcome = Outcome::kRefused;
-  return r;
+  StateResponse response;
+  response.outcome = Outcome::kRefused;
+  return response;
 }
 
 }  // namespace
@@ -39,10 +45,10 @@
   return sum;
 }
 
-io::Task<bool> StateClient::Pace() {
+io::Task<bool> StateClient::WaitForToken() {
   const Micros start = io::Loop::Now();
   bool granted = false;
-  ++queued_;
+  ++waiting_for_token_;
   for (;;) {
     const Micros now = io::Loop::Now();
     tokens_ = std::min(rate_, tokens_ + rate_ * (now - tokens_at_).ToSeconds());
@@ -52,41 +58,42 @@
       granted = true;
       break;
     }
-    if (now - start > Seconds(1) || queued_ > 200) break;
+    if (now - start > kTokenTimeout || waiting_for_token_ > kMaxWaitingForToken) break;
     co_await loop_->Sleep(Millis(20));
   }
-  --queued_;
+  --waiting_for_token_;
   co_return granted;
 }
 
-io::Task<StateResponse> StateClient::Run(StateRequest op) {
-  const bool lease =
-      op.kind == Kind::kRenewLease || op.kind == Kind::kGrantLease || op.kind == Kind::kRevokeLease;
-  const bool watch = op.kind == Kind::kWatch;
+io::Task<StateResponse> StateClient::Send(StateRequest request) {
+  const bool lease = request.kind == Kind::kRenewLease || request.kind == Kind::kGrantLease ||
+                     request.kind == Kind::kRevokeLease;
+  const bool watch = request.kind == Kind::kWatch;
   if (!lease && !watch) {
-    const bool granted = co_await Pace();
+    const bool granted = co_await WaitForToken();
     if (!granted) co_return Refused();
   }
-  const bool dark = unanswered_ >= 3 && io::Loop::Now() - answered_at_ > Seconds(2);
-  if (dark && !lease && !watch && trying_ > 0) co_return Refused();
-  wire::Call call = wire::FormatStateCall(op);
+  const bool down =
+      unanswered_ >= kDownAfterRequests && io::Loop::Now() - answered_at_ > kDownAfter;
+  if (down && !lease && !watch && in_flight_ > 0) co_return Refused();
+  wire::Call call = wire::FormatStateCall(request);
   http::Client& client = watch ? watches_ : requests_;
-  // A watch that waits says nothing of whether others would be answered: were it counted, a node
-  // would refuse its users for as long as an old watch hangs after a cut.
-  if (!watch) ++trying_;
+  // A waiting watch does not show whether requests would be answered. Were it counted, a controller
+  // would refuse its users for as long as an old watch hangs after a network cut.
+  if (!watch) ++in_flight_;
   http::ClientAnswer answer = co_await client.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
-  if (!watch) --trying_;
-  StateResponse reply;
+  if (!watch) --in_flight_;
+  StateResponse response;
   if (!answer.answered()) {
     if (!watch) ++unanswered_;
-    reply.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kRefused
-                                                                            : Outcome::kUnknown;
-    co_return reply;
+    response.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kRefused
+                                                                               : Outcome::kUnknown;
+    co_return response;
   }
   unanswered_ = 0;
   answered_at_ = io::Loop::Now();
-  co_return wire::ParseStateAnswer(op, answer.status, answer.body);
+  co_return wire::ParseStateAnswer(request, answer.status, answer.body);
 }
 
 }  // namespace badgershore::adapters
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -52,86 +52,102 @@
 namespace peer {
 namespace {
 
-constexpr uint32_t kCellMark = uint32_t{1} << 30, kMemberMark = uint32_t{1} << 29;
-
-std::string Framed(const std::string& body, uint32_t mark) {
-  const uint32_t head = static_cast<uint32_t>(body.size()) | mark;
-  std::string framed(4, '\0');
-  for (size_t i = 0; i < 4; ++i) framed[i] = static_cast<char>(head >> (8 * i) & 0xff);
-  return framed + body;
+// Flags above the size in the header.
+constexpr uint32_t kCellFlag = uint32_t{1} << 30;
+constexpr uint32_t kMembershipFlag = uint32_t{1} << 29;
+
+std::string AddHeader(const std::string& body, uint32_t flags) {
+  const uint32_t header = static_cast<uint32_t>(body.size()) | flags;
+  std::string frame(kHeaderBytes, '\0');
+  for (size_t i = 0; i < kHeaderBytes; ++i) {
+    frame[i] = static_cast<char>(header >> (8 * i) & 0xff);
+  }
+  return frame + body;
 }
 
 template <typename T>
-std::string Packed(const T& what, uint32_t mark) {
+std::string Encode(const T& message, uint32_t flags) {
   std::ostringstream out;
   {
-    cereal::PortableBinaryOutputArchive ar(out);
-    ar(what);
+    cereal::PortableBinaryOutputArchive archive(out);
+    archive(message);
   }
-  return Framed(out.str(), mark);
+  return AddHeader(out.str(), flags);
 }
 
 template <typename T>
-std::optional<T> Unpacked(std::string_view body) {
+std::optional<T> Decode(std::string_view body) {
   std::istringstream in{std::string(body)};
-  T what;
+  T message;
   try {
-    cereal::PortableBinaryInputArchive ar(in);
-    ar(what);
+    cereal::PortableBinaryInputArchive archive(in);
+    archive(message);
   } catch (const std::exception&) {
     return std::nullopt;
   }
-  return what;
+  return message;
 }
 
 }  // namespace
 
-std::string Encode(const limits::CellMessage& note) { return Packed(note, kCellMark); }
-std::optional<limits::CellMessage> DecodeCell(std::string_view body) {
-  return Unpacked<limits::CellMessage>(body);
-}
-std::string Encode(const membership::Message& message) { return Packed(message, kMemberMark); }
-std::optional<membership::Message> DecodeMember(std::string_view body) {
-  return Unpacked<membership::Message>(body);
+std::string EncodeFrame(const limits::CellMessage& message) { return Encode(message, kCellFlag); }
+
+std::string EncodeFrame(const membership::Message& message) {
+  return Encode(message, kMembershipFlag);
 }
 
-std::string Encode(const PeerStatus& note) {
+std::string EncodeFrame(const PeerStatus& status) {
   std::ostringstream out;
   {
-    cereal::PortableBinaryOutputArchive ar(out);
-    // What came with later versions stands at the end: an earlier one doesn't read it.
-    ar(note, note.receives_heartbeats, note.cancelling, note.cancelled);
+    cereal::PortableBinaryOutputArchive archive(out);
+    // Fields of later versions come last: an earlier version does not read them.
+    archive(status, status.receives_heartbeats, status.cancelling, status.cancelled);
   }
-  return Framed(out.str(), 0);
+  return AddHeader(out.str(), 0);
+}
+
+std::optional<limits::CellMessage> DecodeCellMessage(std::string_view body) {
+  return Decode<limits::CellMessage>(body);
+}
+
+std::optional<membership::Message> DecodeMembershipMessage(std::string_view body) {
+  return Decode<membership::Message>(body);
 }
 
-std::optional<PeerStatus> Decode(std::string_view body) {
+std::optional<PeerStatus> DecodePeerStatus(std::string_view body) {
   std::istringstream in{std::string(body)};
-  PeerStatus note;
-  int parts = 0;  // one for each version that added something
+  PeerStatus status;
+  int versions_read = 0;  // of those that added fields
   try {
-    cereal::PortableBinaryInputArchive ar(in);
-    ar(note);
-    ++parts;
-    ar(note.receives_heartbeats);
-    ++parts;
-    ar(note.cancelling, note.cancelled);
+    cereal::PortableBinaryInputArchive archive(in);
+    archive(status);
+    ++versions_read;
+    archive(status.receives_heartbeats);
+    ++versions_read;
+    archive(status.cancelling, status.cancelled);
   } catch (const std::exception&) {
-    if (parts == 0) return std::nullopt;
-    if (parts == 1) note.receives_heartbeats = false;
-    note.cancelling.clear();
-    note.cancelled.clear();
+    if (versions_read == 0) return std::nullopt;
+    if (versions_read == 1) status.receives_heartbeats = false;
+    status.cancelling.clear();
+    status.cancelled.clear();
   }
-  return note;
+  return status;
 }
 
-std::optional<Head> ReadHead(std::string_view four) {
-  uint32_t n = 0;
-  for (size_t i = 0; i < 4; ++i)
-    n |= static_cast<uint32_t>(static_cast<unsigned char>(four[i])) << (8 * i);
-  const Head head{n & ~(kCellMark | kMemberMark), (n & kCellMark) != 0, (n & kMemberMark) != 0};
-  if (head.size == 0 || head.size > kMostBytes) return std::nullopt;
-  return head;
+std::optional<FrameHeader> DecodeHeader(std::string_view header) {
+  uint32_t value = 0;
+  for (size_t i = 0; i < kHeaderBytes; ++i) {
+    value |= static_cast<uint32_t>(static_cast<unsigned char>(header[i])) << (8 * i);
+  }
+  FrameHeader decoded;
+  decoded.body_size = value & ~(kCellFlag | kMembershipFlag);
+  if (value & kMembershipFlag) {
+    decoded.kind = FrameKind::kMembershipMessage;
+  } else if (value & kCellFlag) {
+    decoded.kind = FrameKind::kCellMessage;
+  }
+  if (decoded.body_size == 0 || decoded.body_size > kMaxFrameBytes) return std::nullopt;
+  return decoded;
 }
 
 }  // namespace peer
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -1,6 +1,8 @@
-// What controllers tell each other, in cereal's portable binary form.
+// Frames between controllers: a header of four bytes (size and kind), then a message in cereal's
+// portable binary form.
 #pragma once
 
+#include <cstddef>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -9,21 +11,26 @@
 
 namespace badgershore::peer {
 
-constexpr size_t kMostBytes = 256 * 1024;
-
-std::string Encode(const PeerStatus& note);  // with its length in front
-std::optional<PeerStatus> Decode(std::string_view body);
-// What a cell's leader tells another cell's; its frame is marked.
-std::string Encode(const limits::CellMessage& note);
-std::optional<limits::CellMessage> DecodeCell(std::string_view body);
-// Probes among controllers of a cell; marked, too.
-std::string Encode(const membership::Message& message);
-std::optional<membership::Message> DecodeMember(std::string_view body);
-// What follows the four bytes; nothing where its length is out of bounds.
-struct Head {
-  size_t size = 0;
-  bool cell = false, member = false;
+constexpr size_t kHeaderBytes = 4;
+constexpr size_t kMaxFrameBytes = 256 * 1024;
+
+enum class FrameKind { kPeerStatus, kCellMessage, kMembershipMessage };
+struct FrameHeader {
+  size_t body_size = 0;  // bytes that follow the header
+  FrameKind kind = FrameKind::kPeerStatus;
 };
-std::optional<Head> ReadHead(std::string_view four_bytes);
+
+// A whole frame.
+std::string EncodeFrame(const PeerStatus& status);
+std::string EncodeFrame(const limits::CellMessage& message);
+std::string EncodeFrame(const membership::Message& message);
+
+// `header`: at least kHeaderBytes. None: the size is out of bounds.
+std::optional<FrameHeader> DecodeHeader(std::string_view header);
+
+// A frame's body. None: malformed.
+std::optional<PeerStatus> DecodePeerStatus(std::string_view body);
+std::optional<limits::CellMessage> DecodeCellMessage(std::string_view body);
+std::optional<membership::Message> DecodeMembershipMessage(std::string_view body);
 
 }  // namespace badgershore::peer
--- /dev/null
+++ b/src/peer/peer_transport.h
@@ -0,0 +1,65 @@
+// Connections between controllers, over TCP.
+#pragma once
+
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "core/model/effects.h"
+#include "core/model/settings.h"
+#include "error/error.h"
+#include "io/loop.h"
+#include "peer/messages.h"
+
+namespace badgershore::peer {
+
+// Connects to each receiver on demand and accepts connections of others. Messages may be lost or
+// replaced by later ones; nothing is acknowledged.
+class PeerTransport {
+ public:
+  struct Callbacks {
+    std::function<void(PeerStatus)> on_peer_status;
+    std::function<void(limits::CellMessage)> on_cell_message;
+    std::function<void(membership::Message)> on_membership_message;
+  };
+  PeerTransport(io::Loop* loop, const PlatformSettings& settings, Callbacks callbacks);
+
+  // Listens for peers and serves from then on.
+  [[nodiscard]] Result<void> Start();
+  // To all of the cell's other controllers.
+  void Send(const PeerStatus& status);
+  // To the member that the message names.
+  void Send(const membership::Message& message);
+  // To controllers of another cell.
+  void Send(const CellDelivery& delivery);
+
+ private:
+  struct Outgoing {
+    std::string name;
+    std::string address;
+    std::string latest_frame;       // replaces an older one that has not been sent
+    std::string membership_frames;  // each of these is sent
+    bool sending = false;
+    io::Socket socket;
+  };
+  void StartSending(Outgoing* peer);
+  io::Task<void> SendPending(Outgoing* peer);
+  io::Task<void> Accept();
+  io::Task<void> Receive(io::Socket socket);
+  // Handles and removes the complete frames; false: the stream is malformed.
+  bool HandleFrames(std::string* received);
+  void HandleMessage(FrameKind kind, std::string_view body);
+
+  io::Loop* loop_;
+  std::string listen_address_;
+  Callbacks callbacks_;
+  std::vector<std::unique_ptr<Outgoing>> peers_;
+  std::map<std::string, std::unique_ptr<Outgoing>> cell_controllers_;  // by address
+  io::Socket listener_;
+  int receivers_ = 0;
+};
+
+}  // namespace badgershore::peer
--- a/src/programs/controller.cpp
+++ b/src/programs/controller.cpp
@@ -5,7 +5,7 @@
 #include <csignal>
 #include <cstdio>
 
-#include "adapters/node.h"
+#include "adapters/controller_server.h"
 #include "config/config.h"
 #include "io/mailbox.h"
 #include "programs/common.h"
@@ -46,12 +46,12 @@
   }
   std::signal(SIGPIPE, SIG_IGN);
   io::Loop loop;
-  adapters::Node node(&loop, settings, options);
-  if (const auto started = node.Start(); !started) {
+  adapters::ControllerServer server(&loop, settings, options);
+  if (const auto started = server.Start(); !started) {
     std::fprintf(stderr, "badgershore: %s\n", started.error().message.c_str());
     return 1;
   }
-  io::OnEndSignals(&loop, [&] { node.End([&] { loop.Stop(); }); });
+  io::OnEndSignals(&loop, [&] { server.Shutdown([&] { loop.Stop(); }); });
   spdlog::info("{} of {} serves on {}", settings.member, settings.site, settings.client_listen);
   loop.Run();
   return 0;
