--- a/src/core/leader/agent_client.h
+++ b/src/core/leader/agent_client.h
@@ -15,11 +15,11 @@
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Probes that may begin in one tick. Hundreds at once after a failover can keep a slow leader
+  // Limit on the probes sent in one tick. After a failover, hundreds at once can keep a slow leader
   // busy for longer than its lease.
   static constexpr int kMaxProbesPerTick = 60;
 
-  // A probe of the machine is due and may begin now.
+  // Whether a probe of the machine is due and can be sent.
   static bool CanProbe(Micros now, const Machine& machine) {
     return now >= machine.probe_at && !machine.probe_in_flight && !machine.endpoint.empty();
   }
--- a/src/core/leader/cloud_inventory.cpp
+++ b/src/core/leader/cloud_inventory.cpp
@@ -12,11 +12,12 @@
 constexpr Micros kTypesInterval = Seconds(30);
 constexpr Micros kTypesRetryInterval = Seconds(2);
 constexpr Micros kInstancesInterval = Seconds(2);
-// Added to twice the list's lag before a machine that is not listed counts as gone.
+// A machine counts as gone after it has been missing from the list for twice the list lag plus this
+// margin.
 constexpr Micros kMissingMargin = Seconds(4);
 constexpr Micros kNotMissing{-1};
 
-// Prices change all the time: a change of these alone is not worth a durable write.
+// Prices change frequently. A change of prices alone does not justify a durable write.
 bool DiffersOnlyInPrice(const MachineType& known, const MachineType& reported) {
   MachineType repriced = known;
   repriced.price = reported.price;
@@ -84,7 +85,7 @@
 
 void CloudInventory::OnInstance(Micros now, const CloudInstance& instance) {
   if (machine_table().IsTombstoned(instance.id)) {
-    // Scaled in long ago and still listed: ask again.
+    // Scaled in long ago but still listed: repeat the request.
     if (machine_table().ShouldRetryRelease(now, instance.id))
       provisioner().RequestScaleIn(instance.id);
     return;
@@ -105,8 +106,8 @@
   }
 }
 
-// Once listed, an instance stays listed until it is gone; but a list may be older than the one
-// before, so an absence counts only after a while.
+// Once listed, an instance stays listed until it is gone. But a list may be older than the previous
+// one, so a missing instance counts as gone only after a while.
 void CloudInventory::ReleaseMissingMachines(Micros now) {
   for (auto& [id, machine] : machine_table().machines()) {
     if (!machine->listed_by_cloud || machine->stage == MachineStage::kTerminating) continue;
--- a/src/core/leader/cloud_inventory.h
+++ b/src/core/leader/cloud_inventory.h
@@ -1,4 +1,4 @@
-// What the cloud reports of itself: its machine types and this cell's instances.
+// The machine types and this cell's instances, as reported by the cloud.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace badgershore {
 
-// Polls the cloud, and keeps the machine types and the machine table in step with its answers.
+// Polls the cloud, and updates the machine types and the machine table from its responses.
 class CloudInventory : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
@@ -21,7 +21,7 @@
  private:
   void PollMachineTypes();
   void OnMachineTypes(Micros now, const CloudResponse& response);
-  // Asks for the instances whose ids come after `start_after`.
+  // Requests the instances whose ids come after `start_after`.
   void PollInstances(const std::string& start_after);
   void OnInstances(Micros now, const CloudResponse& response);
   void OnInstance(Micros now, const CloudInstance& instance);
@@ -32,7 +32,7 @@
   Micros next_types_at_;
   bool instances_in_flight_ = false;
   Micros next_instances_at_;
-  std::unordered_set<std::string> listed_ids_;  // by the current list, as far as it has come
+  std::unordered_set<std::string> listed_ids_;  // from the pages of the current list so far
 };
 
 }  // namespace badgershore
--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -16,25 +16,26 @@
 namespace badgershore {
 namespace {
 
-// Start priorities: an unstarted job's first task goes before aged jobs, or a large old job would
-// keep all others from starting under overload.
+// Start priorities. An unstarted job's first task goes before aged jobs: otherwise a large old job
+// would keep all others from starting under overload.
 constexpr int kNormalStart = 0;
 constexpr int kAgedStart = 1;
 constexpr int kUnstartedStart = 2;
 
-// Start commands in one answer, which has to stay far below 64 KiB.
+// Limit on start commands in one heartbeat response, which has to stay far below 64 KiB.
 constexpr size_t kMaxCommands = 300;
 
-// Machines looked at while binding, at once and per second. A leader that bound all work of a large
-// fleet in one go after a takeover would lose its lease; with hundreds of reports a second the
-// limit at once alone would still let it spend all its time on binding.
+// Limits on the machines examined while binding: burst and rate per second. Binding all tasks of a
+// large fleet in one call after a failover would take so long that the leader lost its lease. The
+// burst limit alone is not enough: with hundreds of heartbeats a second the leader could still
+// spend all its time on binding.
 constexpr double kBindBudget = 20000;
 constexpr double kBindBudgetPerSecond = 400000;
 
 constexpr Micros kHoldInterval = Seconds(1);
 constexpr Micros kHoldDuration = Seconds(3);
 
-// A job whose deadline leaves less than this part of its estimate can't meet it any more.
+// A job can't meet its deadline any more if less than this part of its estimate remains.
 constexpr double kDeadlineEstimateFactor = 0.8;
 
 bool IsCurrent(const QueuedTask& queued, const Job& job, const Machine* m) {
@@ -42,7 +43,7 @@
   return t.stage == TaskStage::kQueued && t.machine == m && t.bound_at == queued.bound_at;
 }
 
-// Drops tasks that have left the machine's queue meanwhile.
+// Drops tasks at the head of the entry that are no longer bound to the machine.
 void DropStaleTasks(const Machine* m, QueueEntry* entry) {
   while (!entry->tasks.empty() && !IsCurrent(entry->tasks.front(), *entry->job, m)) {
     entry->tasks.pop_front();
@@ -65,7 +66,7 @@
     room = room - m.held_for->spec.need.Times(m.held_tasks);
   }
   if (job.IsGang() || !m.reserved_for) return room;
-  // Work of no higher priority leaves a waiting gang its reserved room.
+  // Jobs whose priority is not higher than a waiting gang's can't use its reservation.
   const Job& gang = *m.reserved_for;
   if (m.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
   const bool gang_first =
@@ -86,7 +87,7 @@
 void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders) {
   Resources used = m->Used();
   while (orders->size() < kMaxCommands) {
-    // Under load most machines are full: this saves looking at every queue for them.
+    // Under load most machines are full. This check avoids searching their queues.
     if (!job_table().smallest_need().Fits(m->type->size - used)) break;
     if (StartPreferred(now, m, &used, orders)) continue;
     if (StartQueued(now, m, &used, orders)) continue;
@@ -100,7 +101,8 @@
   return job.IsAged(now, options().age_limit) ? kAgedStart : kNormalStart;
 }
 
-// A task that needs much of a machine never finds it empty enough while small ones keep coming.
+// Without a hold, a task that needs most of a machine would never fit while small tasks keep
+// arriving.
 void Dispatch::HoldMachinesForUnstartedJobs(Micros now) {
   if (now < next_hold_at_) return;
   next_hold_at_ = now + kHoldInterval;
@@ -113,7 +115,7 @@
   }
 }
 
-// By team.
+// Keyed by team.
 std::map<int, Job*> Dispatch::OldestUnstartedJobs(Micros now) const {
   std::map<int, Job*> oldest;
   for (auto& [id, ptr] : job_table().jobs()) {
@@ -126,7 +128,8 @@
   return oldest;
 }
 
-// The machine that is held for the job already, else the one with most free CPU; null: none.
+// The machine that is already held for the job, else the one with the most free CPU; null if there
+// is none.
 Machine* Dispatch::MachineToHold(Micros now, const Job& job) const {
   const auto free_cpu = [](const Machine& m) { return (m.type->size - m.Used()).cpu; };
   Machine* best = nullptr;
@@ -143,7 +146,8 @@
   return best;
 }
 
-// Whether `a` leaves a machine's queue before `b`, which is no longer in estimate than `a`.
+// Whether `a` is started from a machine's queue before `b`, whose estimate is not longer than that
+// of `a`.
 bool Dispatch::StartsBefore(Micros now, const Job& a, const Job& b) const {
   const int precedence = fair_share().ComparePrecedence(a, b);
   if (precedence != 0) return precedence > 0;
@@ -153,8 +157,8 @@
   return priority_a != kNormalStart && a.submitted_at < b.submitted_at;
 }
 
-// The entry whose first task starts next on the machine; null: none fits. Higher ranks go before
-// lower ones, aged jobs before others, then the shortest estimate.
+// The entry whose first task starts next on the machine; null if none fits. Higher priorities go
+// first, then aged jobs, then the shortest estimate.
 QueueEntry* Dispatch::NextQueued(Micros now, Machine* m, const Resources& used) {
   QueueEntry* best = nullptr;
   for (auto it = m->queue.begin(); it != m->queue.end();) {
@@ -166,7 +170,7 @@
       continue;
     }
     ++it;
-    // The queue is in order of estimate: among equals the first that fits stays.
+    // The queue is sorted by estimate, so among equals the first that fits is kept.
     if (best && !StartsBefore(now, job, *best->job)) continue;
     if (!quota_checker().Allows(job, 1)) continue;
     if (!job.spec.need.Fits(RoomFor(*m, job, used, now)) || reconciler().MayStillRun(job) ||
@@ -196,7 +200,8 @@
     if (t.stage == TaskStage::kQueued && t.bound_at == oldest.bound_at) break;
     job->bound.pop_front();
   }
-  // An unstarted job doesn't wait: where machines come and go its tasks are bound again and again.
+  // No delay for an unstarted job: while machines join and leave, its tasks are rebound repeatedly
+  // and would never have waited long enough.
   const Micros wait = job->IsUnstarted(now, options().age_limit) ? Micros{} : options().rebind_wait;
   return !job->bound.empty() && now - job->bound.front().bound_at >= wait;
 }
@@ -217,8 +222,8 @@
   StartTask(now, m, job, task, used, orders);
 }
 
-// Tasks within a guarantee, or of a team below its share, start before the machine's own queue and
-// wherever there is room.
+// Tasks within a guarantee, or of a team below its share, start before the machine's own queue, on
+// any machine where they fit.
 bool Dispatch::StartPreferred(Micros now, Machine* m, Resources* used,
                               std::vector<Command>* orders) {
   const auto order = [](const Job* j) {
@@ -239,7 +244,7 @@
   return true;
 }
 
-// A task that has waited long in another machine's queue moves to this one, which has room.
+// Moves a task that has waited long in another machine's queue to this machine, where it fits.
 bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
   const auto order = [&](const Job* j) {
     return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
@@ -258,8 +263,8 @@
   return true;
 }
 
-// A job that can still meet its deadline avoids machines that may be cleared for gangs: a stopped
-// task starts over, and a deadline seldom leaves time for that.
+// A job that can still meet its deadline avoids machines that gangs may preempt: a preempted task
+// starts over, and a deadline seldom leaves time for that.
 bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& m) const {
   return job.spec.deadline &&
          now < job.submitted_at + *job.spec.deadline -
@@ -330,7 +335,7 @@
 void Dispatch::BindWaiting(Micros now) {
   RefillBindBudget(now);
   const JobTable::Jobs& jobs = job_table().jobs();
-  std::optional<std::vector<ReadyMachine>> ready;  // found once, and only if something is bound
+  std::optional<std::vector<ReadyMachine>> ready;  // computed once, when the first job needs it
   auto it = jobs.upper_bound(last_bound_job_);
   for (size_t n = 0; n < jobs.size() && bind_budget_ > 0; ++n, ++it) {
     if (it == jobs.end()) it = jobs.begin();
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -20,20 +20,20 @@
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Binds waiting tasks, job by job in turns, as far as the budget for looking at machines goes;
-  // the rest is bound by later calls.
+  // Binds waiting tasks, job by job in round-robin order, within the budget for examining machines.
+  // Later calls bind the rest.
   void BindWaiting(Micros now);
-  // Holds a machine for one unstarted job of each team: its room is left free until the job's first
-  // task has started there.
+  // Holds a machine for one unstarted job of each team. Its free resources are kept until the job's
+  // first task has started there.
   void HoldMachinesForUnstartedJobs(Micros now);
-  // Starts on the machine what has room there, and appends the start commands to `orders`.
+  // Starts the tasks that fit on the machine and appends their start commands to `orders`.
   void StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders);
   // Returns all tasks in the machine's queue to their jobs' waiting tasks.
   void Unbind(Machine* m);
-  // Returns the job's queued tasks, on whatever machine, to its waiting tasks.
+  // Returns the job's queued tasks, on all machines, to its waiting tasks.
   void Unbind(Job* job);
-  // The resources of the machine that the job may use while `used` is taken: without what is held
-  // or reserved there for others that go before it.
+  // The machine's resources that the job may use while `used` is in use. Excludes what is held or
+  // reserved there for jobs that go before it.
   Resources RoomFor(const Machine& m, const Job& job, const Resources& used, Micros now) const;
 
  private:
@@ -56,7 +56,8 @@
   std::map<int, Job*> OldestUnstartedJobs(Micros now) const;
   Machine* MachineToHold(Micros now, const Job& job) const;
 
-  // Starting. The Start... calls start one task, or return false.
+  // Starting. StartPreferred(), StartQueued() and StartRebound() start one task each, or return
+  // false.
   bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
   bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
   bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
@@ -71,7 +72,7 @@
                  std::vector<Command>* orders);
 
   Micros next_hold_at_;
-  double bind_budget_ = 0;  // machines that may be looked at
+  double bind_budget_ = 0;  // machines that binding may still examine
   Micros bind_budget_at_;   // when the budget was last refilled
   std::string last_bound_job_;
 };
--- a/src/core/leader/failure_detector.cpp
+++ b/src/core/leader/failure_detector.cpp
@@ -11,25 +11,26 @@
 namespace badgershore {
 namespace {
 
-// The time between an answer and the agent's next heartbeat, at most, in heartbeat intervals.
+// The longest time between an answer and the agent's next heartbeat, in heartbeat intervals.
 constexpr double kMaxHeartbeatIntervals = 1.25;
-// How long an agent takes to find this leader again after a stall, beyond one interval. Agents try
-// other controllers after 4 s without an answer.
+// How long an agent takes to reconnect to this leader after a stall, in addition to one heartbeat
+// interval. Agents try other controllers after 4 s without an answer.
 constexpr Micros kReconnectTime = Seconds(6);
 constexpr Micros kHeartbeatDelivery = Seconds(1);
 
-constexpr Micros kMaxPendingAge = Millis(1500);  // of a heartbeat whose answer is held back
+constexpr Micros kMaxPendingAge = Millis(1500);  // of a heartbeat whose answer is delayed
 
 constexpr Micros kDefaultBootTime = Seconds(60);  // of machines of unknown type
 constexpr Micros kBootMargin = Seconds(5);
 
-// Unreconciled machines are released early if at most one machine in so many is unreconciled.
+// Unreconciled machines are released early if at most one machine in this many is unreconciled.
 constexpr size_t kFewUnreconciled = 10;
 constexpr size_t kVeryFewUnreconciled = 50;
 
-constexpr Micros kCheckpointMargin = Seconds(3);  // between a checkpoint's end and the preemption
+constexpr Micros kCheckpointMargin = Seconds(3);  // between a checkpoint's end and preemption
 
-// No heartbeats at all: so many that were expected are missing, for at least so long.
+// The leader receives no heartbeats at all if this many expected ones are missing, and for at least
+// this long.
 constexpr int kMissingHeartbeats = 8;
 constexpr Micros kMinHeartbeatGap = Seconds(4);
 
@@ -48,8 +49,9 @@
 }
 
 void FailureDetector::Tick(Micros now) {
-  // After a stall all machines look silent and their leases expired, while another leader may have
-  // taken over. Nothing counts as ended before the state service has confirmed this leader's lease.
+  // After a stall all machines seem unresponsive and their leases expired, although another leader
+  // may have taken over. No task counts as ended until the state service has confirmed this
+  // leader's lease.
   const bool holds_lease = election()->MayStart(now);
   const Liveness liveness = UpdateTypesAndCount(now);
   up_ = liveness.up;
@@ -121,8 +123,8 @@
   if (now < grace_until_) return nullptr;
   if (IsUnreachableAfterFailover(now, machine, liveness))
     return "not reconciled: no answer in this term";
-  // If the fault is likely this leader's, machines are released only when their agent's lease has
-  // expired too: releasing them would lose everything.
+  // If the fault is probably this leader's, machines are released only after their agent's lease
+  // has expired too: releasing them earlier would lose all running tasks.
   const Micros contact_timeout =
       options().silent_return +
       (liveness.IsMostlySilent() ? settings().agent_lease : settings().heartbeat_interval);
@@ -130,16 +132,16 @@
     return IsKnownToReceive(now, machine) ? "agent unreachable"
                                           : "agent unreachable since the term began";
   }
-  // After two agent leases without heartbeats nothing runs on it, and nothing can be started.
+  // After two agent leases without heartbeats no task runs on the machine and none can be started.
   const Micros heartbeat_timeout = options().silent_return + settings().agent_lease.Scaled(2);
   if (liveness.IsMostlyHeartbeating() && now - machine.last_heartbeat_at > heartbeat_timeout) {
-    return "no heartbeats, though probes are answered";
+    return "no heartbeats, although probes are answered";
   }
   return nullptr;
 }
 
-// One unreachable machine holds back all jobs that may still run on it. If nearly all others have
-// answered it is released early: its removal by the cloud reconciles it as well.
+// One unreachable machine blocks all jobs that may still run on it. If nearly all other machines
+// have answered it is released early, since its removal by the cloud also reconciles it.
 bool FailureDetector::IsUnreachableAfterFailover(Micros now, const Machine& machine,
                                                  const Liveness& liveness) const {
   if (machine.reconciled || IsKnownToReceive(now, machine)) return false;
@@ -152,8 +154,9 @@
          now - machine.first_probed_at > options().resolve_soon;
 }
 
-// The agent has sent a heartbeat of this term, or has learned the term so recently that it is about
-// to. One that learned it long ago and has not sent any does not receive answers.
+// Whether the agent receives answers: it has sent a heartbeat of this term, or was answered so
+// recently that its next heartbeat is still due. An agent that was answered long ago and has not
+// sent a heartbeat of this term does not receive answers.
 bool FailureDetector::IsKnownToReceive(Micros now, const Machine& machine) const {
   if (machine.sequence > 0) return true;
   if (machine.first_answered_at.count < 0) return false;
@@ -161,9 +164,10 @@
          settings().heartbeat_interval.Scaled(kMaxHeartbeatIntervals) + kHeartbeatDelivery;
 }
 
-// Stops the tasks that save checkpoints just in time, so that they lose no work.
+// Stops tasks with checkpoints just early enough to write one before the preemption, so that they
+// lose no work.
 void FailureDetector::SaveBeforePreemption(Micros now, Machine* machine) {
-  std::map<std::string, Job*> gangs_to_save;  // by id; all members save together
+  std::map<std::string, Job*> gangs_to_save;  // by id; members write checkpoints together
   bool has_stops = false;
   for (auto& [key, allocation] : machine->allocations) {
     Job* job = allocation.job;
--- a/src/core/leader/failure_detector.h
+++ b/src/core/leader/failure_detector.h
@@ -1,4 +1,4 @@
-// Detection of failed machines and of a leader that is cut off from the agents.
+// Detection of failed machines, and of a leader that the agents can't reach.
 #pragma once
 
 #include <map>
@@ -10,29 +10,30 @@
 
 namespace badgershore {
 
-// Checks all machines in each tick: expires agents' leases, probes silent machines, releases those
-// that have failed and saves tasks from announced preemptions.
+// Checks all machines in each tick: expires agent leases, probes unresponsive machines, releases
+// failed ones, and has tasks write checkpoints before an announced preemption.
 class FailureDetector : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
   void Tick(Micros now);
-  // An agent has sent a heartbeat.
+  // To be called when an agent has sent a heartbeat.
   void NoteHeartbeat(Micros now) { last_heartbeat_at_ = now; }
-  // This process did not run for a while. No machine counts as failed for what was missed
-  // meanwhile, until all agents have had the time to reconnect.
+  // To be called after a pause of this process. No machine counts as failed for heartbeats that
+  // were missed meanwhile until all agents have had time to reconnect.
   void OnProcessStall(Micros now);
-  // Agents sent heartbeats in this term, and for so long none did that they can't reach this
-  // leader. Answers to direct calls don't count: they work without connections to the leader.
+  // Whether agents have sent heartbeats in this term, but none for so long that they probably can't
+  // reach this leader. Responses to direct calls don't count, since they need no connection from an
+  // agent to the leader.
   bool ReceivesNoHeartbeats(Micros now) const;
 
  private:
-  // How many machines are up, and of how many there was a sign of life recently.
+  // The number of machines that are up, and of those with recent contact.
   struct Liveness {
     int up = 0;
-    int contacted = 0;  // by heartbeat or in the answer to a direct call
+    int contacted = 0;  // by a heartbeat or the response to a direct call
     int heartbeating = 0;
-    // Where most are silent this leader's own network is the likely fault.
+    // If most machines are unresponsive, the fault is probably in this leader's own network.
     bool IsMostlySilent() const { return contacted * 2 < up; }
     bool IsMostlyHeartbeating() const { return heartbeating * 2 >= up; }
   };
@@ -43,7 +44,7 @@
   void ExpireAgentLease(Micros now, Machine* machine);
   void CheckBoot(Micros now, Machine* machine);
   void ProbeIfDue(Micros now, Machine* machine, int* probes);
-  // Null: the machine has not failed.
+  // Null if the machine has not failed.
   const char* FailureOf(Micros now, const Machine& machine, const Liveness& liveness) const;
   bool IsUnreachableAfterFailover(Micros now, const Machine& machine,
                                   const Liveness& liveness) const;
@@ -52,7 +53,7 @@
 
   int up_ = 0;                    // machines that are up, as of the last tick
   Micros last_heartbeat_at_{-1};  // of any machine in this term
-  Micros grace_until_;            // no machine is released for its silence before
+  Micros grace_until_;            // no machine is released as unresponsive before this time
 };
 
 }  // namespace badgershore
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -17,10 +17,10 @@
 
 constexpr Micros kInterval = Millis(500);
 constexpr Micros kPreemptionWindow = Seconds(60);
-// Covers the wait for a report of the machine after the preemption.
+// Long enough for the machine's next heartbeat after the preemption.
 constexpr Micros kHoldDuration = Seconds(12);
 
-// The cost of preempting a task that checkpoints; others cost this much and what they have run.
+// Cost of preempting a task with checkpoints, and of one without, which also loses its run time.
 constexpr double kCheckpointedCost = 0.1;
 constexpr double kLostTaskCost = 1;
 
@@ -29,7 +29,7 @@
 }
 
 struct Victim {
-  bool loses_run;  // it doesn't checkpoint
+  bool loses_run;  // writes no checkpoints
   Micros ran;
   Allocation* allocation;
 
@@ -86,7 +86,7 @@
   }
 }
 
-// Those that have waited long enough for preemption, oldest first.
+// The jobs that have waited long enough for their guarantee to justify preemption, oldest first.
 std::vector<Job*> FairShare::JobsShortOfGuarantee(Micros now) const {
   std::vector<Job*> jobs;
   for (Job* job : preferred_jobs_) {
@@ -117,8 +117,8 @@
   ListPreferredJobs(sum, any_over);
 }
 
-// Whether there is not room for all that could start: shares count only then. Resets the teams'
-// shares and notes which teams have something to start.
+// Whether the tasks that could start need more than the free resources; shares apply only then.
+// Resets the teams' shares and records which teams have tasks to start.
 bool FairShare::IsCrowded(Micros now, Resources* capacity) {
   Resources free;
   for (const auto& [id, m] : machine_table().machines()) {
@@ -131,7 +131,7 @@
   for (const auto& [id, job] : job_table().jobs()) {
     const int open = job->WantedTasks() - job->placed;
     if (open <= 0 || job->finishing || job->team < 0) continue;
-    if (!quota_checker().Allows(*job, 1)) continue;  // it waits for its own team
+    if (!quota_checker().Allows(*job, 1)) continue;  // blocked by its own team's limit
     shares_[static_cast<size_t>(job->team)].wants = true;
     wanted = wanted + job->spec.need.Times(open);
   }
@@ -172,8 +172,8 @@
   }
 }
 
-// What has to be preempted on the machine for `tasks` of the job, or as many as can be; false: not
-// even one can be placed.
+// Finds the tasks to preempt on the machine so that `tasks` tasks of the job fit, or as many as
+// possible. Returns false if not even one fits.
 bool FairShare::PlanOn(Micros now, Machine* m, const Job& job, int tasks,
                        PreemptionOption* out) const {
   Resources room = dispatch().RoomFor(*m, job, m->Used(), now);
@@ -199,7 +199,7 @@
     out->cost += victim.Cost();
   }
   out->tasks = static_cast<int>(std::min<int64_t>(room.Holds(job.spec.need), tasks));
-  // Victims that did not make room for one more task are spared.
+  // Drops victims whose preemption doesn't let one more task fit.
   while (!out->victims.empty()) {
     const Resources less = room - out->victims.back()->need;
     if (less.Holds(job.spec.need) < out->tasks) break;
@@ -229,7 +229,8 @@
   return found;
 }
 
-// Tasks that the guarantee is short of and that no machine is held for.
+// The number of tasks within the guarantee that are neither placed nor have a machine held for
+// them.
 int FairShare::MissingTasks(const Job& job) const {
   int missing = std::min(job.tasks_within_guarantee, job.remaining()) - job.placed;
   for (const auto& [id, m] : machine_table().machines()) {
@@ -238,9 +239,9 @@
   return missing;
 }
 
-// Holds room for the tasks that the guarantee is short of, and preempts what other teams run beyond
-// theirs where there is none. The team that reclaims stays within its guarantee and the others keep
-// theirs, so that no two teams preempt each other in turns.
+// Holds resources for the job's tasks that are missing from the guarantee. Where none are free,
+// preempts tasks of teams above their own guarantee. The reclaiming team stays within its guarantee
+// and the others keep theirs, so two teams can't preempt each other in turns.
 void FairShare::ReclaimGuarantee(Micros now, Job* job) {
   int missing = MissingTasks(*job);
   if (missing <= 0 || reconciler().MayStillRun(*job) || !quota_checker().Allows(*job, 1)) return;
@@ -262,13 +263,13 @@
   }
 }
 
-// False, and nothing is done, where the option would preempt too much.
+// Returns false, without any effect, if the option would preempt too much.
 bool FairShare::Execute(Micros now, Job* job, const PreemptionOption& option, int tasks) {
   int64_t cpu = 0;
   Micros longest_checkpoint;
   for (const Allocation* o : option.victims) {
     cpu += o->need.cpu;
-    // Another option may have used up what the team has beyond its guarantee.
+    // An earlier option may already have preempted all that the team uses above its guarantee.
     if (!ExceedsGuaranteeWithout(o->team, o->need)) return false;
     longest_checkpoint = std::max(longest_checkpoint, o->job->spec.checkpoint_duration);
   }
--- a/src/core/leader/fair_share.h
+++ b/src/core/leader/fair_share.h
@@ -1,5 +1,5 @@
-// Sharing among teams: guarantees first, then dominant shares (Ghodsi et al., "Dominant Resource
-// Fairness", NSDI 2011) among jobs of equal priority.
+// Fair sharing among teams: guarantees first, then dominant shares (Ghodsi et al., "Dominant
+// Resource Fairness", NSDI 2011) among jobs of equal priority.
 #pragma once
 
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace badgershore {
 
-// Compares jobs by their teams' shares, and preempts tasks of teams above their guarantee where
+// Compares jobs by their teams' shares, and preempts tasks of teams above their guarantee when
 // another team is short of its own.
 class FairShare : public LeaderComponent {
  public:
@@ -18,37 +18,37 @@
 
   // Recomputes the shares and reclaims guarantees, twice a second at most.
   void Tick(Micros now);
-  // Positive: `a` starts before `b`; negative: after it; 0: the teams' shares don't decide.
+  // Positive: `a` starts before `b`; negative: after `b`; 0: the teams' shares don't decide.
   int ComparePrecedence(const Job& a, const Job& b) const;
-  // Array and service jobs with unplaced tasks that are within a guarantee, or of a team below its
-  // share while another is above, as of the last tick.
+  // Array and service jobs with unplaced tasks that are within a guarantee, or whose team is below
+  // its share while another team is above, as of the last tick.
   const std::vector<Job*>& preferred_jobs() const { return preferred_jobs_; }
-  // The job is over.
+  // To be called when the job has ended.
   void Remove(const Job* job);
-  // Without these resources the team would still use at least its guarantee, so that they may be
-  // preempted for another team's guarantee.
+  // Whether the team would still use at least its guarantee without these resources, so that they
+  // may be preempted for another team's guarantee.
   bool ExceedsGuaranteeWithout(int team, const Resources& resources) const;
 
  private:
   struct Share {
     double dominant = 0;  // 0 to 1
-    bool wants = false;   // has tasks to start within its limit
+    bool wants = false;   // has tasks that could start within its limit
     bool over = false;    // uses more than its share
   };
   struct ShareSum {
     double dominant = 0;
-    int active = 0;  // teams that use or want something
+    int active = 0;  // teams that use resources or have tasks to start
   };
-  // A machine where tasks of a job fit once the victims are preempted.
+  // A machine on which tasks of a job fit once the victims are preempted.
   struct PreemptionOption {
     Machine* machine = nullptr;
     int tasks = 0;
     double cost = 0;  // per task
     std::vector<Allocation*> victims;
   };
-  // Preempted for a team's guarantee within the current window.
+  // The CPU preempted for a team's guarantee within the current window.
   struct PreemptedCpu {
-    int64_t cpu = 0;  // in thousandths of a core
+    int64_t cpu = 0;  // in millicores
     Micros window_start;
   };
 
@@ -69,7 +69,7 @@
   std::vector<Share> shares_;  // by team
   std::vector<Job*> preferred_jobs_;
   std::vector<PreemptedCpu> preempted_;  // by team
-  std::vector<Resources> stopping_;      // by team: told to stop and still there
+  std::vector<Resources> stopping_;      // by team: use of tasks that are being stopped
   Micros next_tick_at_;
 };
 
--- a/src/core/leader/fault_attribution.cpp
+++ b/src/core/leader/fault_attribution.cpp
@@ -14,20 +14,21 @@
 // Bounds of the exponential backoff between probes of a faulty job.
 constexpr Micros kMinProbeBackoff = Seconds(4);
 constexpr Micros kMaxProbeBackoff = Seconds(64);
-// Tasks of a faulty job that may run at once; doubled with each completion.
+// Upper bound of the tasks of a faulty job that may run at once. The number doubles with each
+// completion.
 constexpr int kMaxProbes = 1024;
 
-// The delay before a failed task's retry doubles from this, so many times at most.
+// A failed task's retry delay starts at this and doubles with each failure, up to this many times.
 constexpr double kMinRetryDelaySeconds = 0.25;
 constexpr int kMaxRetryDoublings = 6;
 
 constexpr int kMaxCountedTaskFailures = 200;  // TaskState::failures is one byte
 constexpr size_t kMaxFailedMachines = 8;
 
-// Evidence against a machine: so many different jobs failed on it, or so many tasks in a row.
+// A machine is at fault if this many different jobs failed on it, or this many tasks in a row.
 constexpr int kFailedJobsForFault = 2;
 constexpr int kConsecutiveFailuresForFault = 3;
-// Without any other evidence a machine is at fault after it has only failed tasks for so long.
+// Without other evidence, a machine is at fault after all tasks on it have failed for this long.
 constexpr Micros kOnlyFailuresForFault = Seconds(20);
 
 }  // namespace
@@ -73,7 +74,8 @@
 }
 
 bool FaultAttribution::IsMachineAtFault(Micros now, const Machine& machine, const Job& job) const {
-  // A job that never worked and failed on other machines too is no evidence against this one.
+  // A job that has never run successfully and also failed on other machines is no evidence against
+  // this one.
   int jobs = 0;
   for (const std::string& id : machine.failed_jobs) {
     const Job* other = job_table().Find(id);
@@ -84,7 +86,7 @@
          (IsKnownToWork(job) || now - machine.failing_since > kOnlyFailuresForFault);
 }
 
-// Clears the machines of this job's failures and takes its tasks off their queues.
+// Discards this job's failures as evidence against machines, and returns its queued tasks.
 void FaultAttribution::MarkFaulty(Micros now, Job* job) {
   outbox()->Info("job " + job->spec.id +
                  ": marked faulty, fails on every machine; probing with one task at a time");
--- a/src/core/leader/fault_attribution.h
+++ b/src/core/leader/fault_attribution.h
@@ -8,8 +8,8 @@
 namespace badgershore {
 
 // Decides whether a failed task's machine or its job is at fault, from the jobs that fail on one
-// machine and the machines on which one job fails. Nothing is recorded: a new leader learns it
-// again from one round of the job's tasks.
+// machine and the machines on which one job fails. This state is not durable: a new leader learns
+// it again from one round of the job's tasks.
 class FaultAttribution : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
@@ -27,7 +27,7 @@
   int StartsAllowed(Micros now, const Job& job) const;
 
  private:
-  // Some task of it runs or completed, so a machine on which it fails is suspect.
+  // Some task of the job is running or has completed, so a machine on which it fails is suspect.
   static bool IsKnownToWork(const Job& job) { return job.done + job.running > 0; }
   void RecordFailure(const Machine& machine, Job* job, TaskState* task) const;
   Micros ScheduleNextProbe(Micros now, Job* job, bool was_faulty);
--- a/src/core/leader/gang_placement.cpp
+++ b/src/core/leader/gang_placement.cpp
@@ -51,10 +51,12 @@
   return false;
 }
 
-// A member that left a gang still gathering (`alone`, refused) is replaced under the same attempt.
-// Its machine can't take it again before its worker has forgotten that attempt: a start would do
-// nothing there, and the new member would be counted under the exited allocation. Placement waits
-// for that, because another machine would have to fetch the image first.
+// Whether a ready machine still lists the current attempt of a member that waits to be placed
+// again. A member that leaves a gang before all members have started (`alone`, or its start was
+// rejected) is replaced under the same attempt. Its machine can't take the replacement until the
+// agent has forgotten that attempt: a start would have no effect there, and the new member would be
+// counted under the exited allocation. Placement waits for that, because any other machine would
+// have to fetch the image first.
 bool GangPlacement::AwaitsOldAttempt(Micros now, const Job& gang,
                                      const std::vector<int>& members) const {
   for (const auto& [id, m] : machine_table().machines()) {
@@ -66,7 +68,7 @@
   return false;
 }
 
-// What the machines of the zone (empty: of all) have free for the gang.
+// The resources that the zone's machines have free for the gang. An empty `zone` means all zones.
 std::vector<GangPlacement::MachineRoom> GangPlacement::FindRooms(Micros now, const Job& gang,
                                                                  const std::string& zone) const {
   std::vector<MachineRoom> rooms;
@@ -81,8 +83,8 @@
   return rooms;
 }
 
-// One machine for each member, best first: where the gang has not failed, where its image is, and
-// the tightest fit. Fewer than `members` where the room ends.
+// One machine for each member. Prefers machines where the gang has not failed, then machines that
+// have its image, then the tightest fit. Returns fewer than `members` if not all members fit.
 std::vector<Machine*> GangPlacement::ChooseMachines(const Job& gang, size_t members,
                                                     std::vector<MachineRoom> rooms) const {
   const auto score = [&](const MachineRoom& r) {
--- a/src/core/leader/gang_placement.h
+++ b/src/core/leader/gang_placement.h
@@ -10,17 +10,18 @@
 
 namespace badgershore {
 
-// The zones to try one after the other for all of a job's tasks. An empty name stands for all zones
+// The zones to try in turn for placing all of a job's tasks. An empty name stands for all zones
 // together.
 std::vector<std::string> CandidateZones(const JobSpec& spec, const PlatformSettings& settings);
 
-// Puts a gang's waiting members on machines: all of them or none.
+// Places all waiting members of a gang on machines, or none of them.
 class GangPlacement : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Places all waiting members and releases the gang's reservation; their starts go out with the
-  // machines' next reports. False, and nothing has changed, where not all of them fit.
+  // Places all waiting members and releases the gang's reservation. Their starts are sent in the
+  // responses to the machines' next heartbeats. Returns false, without any effect, if not all
+  // members fit.
   bool Place(Micros now, Job* gang);
 
  private:
--- a/src/core/leader/gang_preemption.cpp
+++ b/src/core/leader/gang_preemption.cpp
@@ -14,14 +14,16 @@
 namespace badgershore {
 namespace {
 
-// Time that a checkpointed task needs until it runs again: a new machine and its image.
+// Time until a checkpointed task runs again, which includes finding a machine and fetching the
+// image.
 constexpr Micros kRestartTime = Seconds(30);
 
-// Waiting for a task that may not be preempted costs more than any preemption.
+// Cost of waiting for the end of a task that may not be preempted; higher than that of any
+// preemption.
 constexpr double kWaitForEndCost = 1e4;
 constexpr double kWaitForEndFactor = 100;
 
-// An allocation that may be preempted, and the run time that is lost by it.
+// An allocation that may be preempted, and the run time that its preemption loses.
 struct Victim {
   Micros lost;
   Machine* machine;
@@ -41,12 +43,12 @@
 bool GangPreemption::MayPreempt(const Allocation& o, const Job& gang) const {
   if (!o.job || o.job->IsGang()) return false;
   if (o.job->spec.priority > gang.spec.priority) return true;
-  // A team's guarantee comes before what other teams use beyond theirs.
+  // A team's guarantee takes precedence over other teams' use above their guarantees.
   return gang.IsGuaranteed() && o.team != gang.team && !o.job->IsService() &&
          fair_share().ExceedsGuaranteeWithout(o.team, o.need);
 }
 
-// A task that checkpoints loses only the time of saving and restarting.
+// A task with checkpoints loses only the time that a checkpoint and a restart take.
 Micros GangPreemption::LostRunTime(Micros now, const Allocation& o) const {
   const Micros ran =
       std::max(Micros{}, now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at);
@@ -62,7 +64,7 @@
     if (o.exited() || (!after_gangs && o.job && o.job->IsGang())) continue;
     const auto cpu = static_cast<double>(o.need.cpu) / 1000;
     if (!o.job) {
-      kept = kept + o.need;  // its job is over; it is being stopped
+      kept = kept + o.need;  // its job has ended, and it is being stopped
       continue;
     }
     const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
@@ -116,7 +118,7 @@
 }
 
 void GangPreemption::PreemptForQuota(Micros now, const Job& gang) {
-  // What the gang itself claims is not missing.
+  // The gang's own reservation is part of the shortfall already, so its members aren't added again.
   Resources missing = quota_checker().Shortfall(gang, 0);
   std::vector<Victim> victims;
   for (const auto& [id, m] : machine_table().machines()) {
@@ -130,7 +132,7 @@
     }
   }
   std::stable_sort(victims.begin(), victims.end(), LosesLess);
-  std::map<std::string, Machine*> affected;  // by id: the order of addresses differs between runs
+  std::map<std::string, Machine*> affected;  // by id, since pointer order differs between runs
   for (const Victim& victim : victims) {
     if (missing.cpu <= 0 && missing.gpu <= 0) break;
     RequestStop(victim.allocation);
--- a/src/core/leader/gang_preemption.h
+++ b/src/core/leader/gang_preemption.h
@@ -1,4 +1,4 @@
-// Stops running tasks so that waiting gangs get machines or quota.
+// Preempts running tasks so that waiting gangs get machines or quota.
 #pragma once
 
 #include <optional>
@@ -9,22 +9,22 @@
 
 namespace badgershore {
 
-// Decides which tasks a gang may preempt and what that costs, and preempts them. Tasks that
-// checkpoint are given the time to save. Gangs are never preempted.
+// Decides which tasks a gang may preempt and at which cost, and preempts them. Tasks that support
+// checkpoints are given the time to write one. Gangs are never preempted.
 class GangPreemption : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
-  // The cost, in CPU-seconds, of giving the machine to members of the gang: lost run time and the
-  // transfer of the image. Empty where not even one member would fit. `after_gangs`: the gang waits
-  // for the gangs that run there to end.
+  // The cost, in CPU-seconds, of clearing the machine for members of the gang: lost run time and
+  // the image transfer. Empty if not even one member would fit. `after_gangs`: the gang waits until
+  // the gangs that run there have ended.
   std::optional<double> CostToClear(Micros now, const Machine& m, const Job& gang,
                                     bool after_gangs) const;
-  // Preempts tasks on the machine until the gang's reserved members fit, least lost run time first,
-  // and takes all tasks off the machine's queue.
+  // Preempts tasks on the machine until the gang's reserved members fit, in order of the run time
+  // that is lost, and clears the machine's queue.
   void PreemptForGang(Micros now, Machine* m, const Job& gang);
-  // Preempts tasks of lower priority of the gang's own team until the gang fits into the team's
-  // limit, least lost run time first.
+  // Preempts the team's own tasks of lower priority until the gang fits within the team's limit, in
+  // order of the run time that is lost.
   void PreemptForQuota(Micros now, const Job& gang);
 
  private:
--- a/src/core/leader/gang_queue.cpp
+++ b/src/core/leader/gang_queue.cpp
@@ -8,13 +8,13 @@
 namespace badgershore {
 namespace {
 
-// Age at which an unstarted gang may get the priority turn, as a factor of the age limit.
+// Age at which an unstarted gang may get a priority turn, as a factor of the age limit.
 constexpr double kPriorityTurnAgeFactor = 1.25;
-// Between two priority turns so many other gangs of the team start, or so much time passes.
+// The next priority turn is due after this many starts of the team's other gangs or this much time.
 constexpr int kStartsBetweenPriorityTurns = 2;
 constexpr Micros kPriorityTurnInterval = Seconds(30);
 
-// A gang that has missed its start objective ages by this factor more slowly.
+// The age limit of a gang that has missed its start objective is longer by this factor.
 constexpr int kLateAgeFactor = 3;
 
 double TotalWork(const Job& job) {
@@ -34,8 +34,8 @@
       order.prioritized[job->team] = PrioritizedGang(now, job->team, order.gangs);
     }
   }
-  // Late gangs go after those that can still meet their objective: under overload every gang would
-  // be late otherwise.
+  // Late gangs go after those that can still meet their objective. Otherwise every gang would be
+  // late under overload.
   const auto key = [&](const Job* j) {
     const bool late = now > j->start_by;
     const bool aged = now - j->submitted_at > options().age_limit.Scaled(late ? kLateAgeFactor : 1);
@@ -53,9 +53,9 @@
   if (turn.other_starts == 0) turn.next_at = now + kPriorityTurnInterval;
 }
 
-// The team's unstarted gang with the most work among those well past the age limit; null between
-// two turns. Turns are spaced because under overload, were each old gang prioritized, all would be
-// late.
+// The team's unstarted gang with the most total work among those well past the age limit; null
+// between two turns. Turns are spaced because under overload all gangs would be late if every aged
+// gang were prioritized.
 const Job* GangQueue::PrioritizedGang(Micros now, int team, const std::vector<Job*>& gangs) {
   PriorityTurn& turn = priority_turns_[team];
   if (turn.other_starts < kStartsBetweenPriorityTurns && now < turn.next_at) return nullptr;
@@ -63,7 +63,7 @@
   for (const Job* j : gangs) {
     if (j->team != team || j->IsFaulty() || j->placed > 0 || j->has_run) continue;
     if (now - j->submitted_at < options().age_limit.Scaled(kPriorityTurnAgeFactor)) continue;
-    if (j->spec.id == turn.job_id) return j;  // it keeps its turn, and so its reservation
+    if (j->spec.id == turn.job_id) return j;  // it keeps its turn and thereby its reservation
     if (!best || TotalWork(*j) > TotalWork(*best) ||
         (TotalWork(*j) == TotalWork(*best) && j->submitted_at < best->submitted_at)) {
       best = j;
--- a/src/core/leader/gang_queue.h
+++ b/src/core/leader/gang_queue.h
@@ -10,31 +10,31 @@
 
 namespace badgershore {
 
-// The unfinished gangs at one moment, in the order in which they are served.
+// The unfinished gangs at one point in time, in the order in which they are served.
 struct GangOrder {
   std::vector<Job*> gangs;
-  std::map<int, const Job*> prioritized;  // by team; null: no gang of the team has the turn
+  std::map<int, const Job*> prioritized;  // by team; null: no gang has the team's priority turn
 
-  // The gang has its team's priority turn. Only for gangs of this order.
+  // Whether the gang has its team's priority turn. The gang must be in `gangs`.
   bool IsPrioritized(const Job* gang) const { return prioritized.at(gang->team) == gang; }
 };
 
-// Orders gangs by rank, then shortest estimate first, with aging. Shortest first alone would starve
-// the largest gangs, so every team regularly gives a priority turn to its largest old one.
+// Orders gangs by priority, then shortest estimate first, with aging. Shortest first alone would
+// starve the largest gangs, so each team regularly gives a priority turn to its largest aged gang.
 class GangQueue : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
   // The gangs to serve at `now`. May pass a team's priority turn to another gang.
   GangOrder Order(Micros now);
-  // To be called when a gang is placed that had no member on any machine.
+  // To be called when a gang is placed of which no member was on any machine.
   void RecordStart(Micros now, const Job& gang, bool prioritized);
 
  private:
   struct PriorityTurn {
     std::string job_id;    // the gang that has the turn; empty: none
     int other_starts = 0;  // starts of the team's other gangs since the last turn was used
-    Micros next_at;        // the next turn is given by then, however few others have started
+    Micros next_at;        // the next turn is due then, even if few other gangs have started
   };
   const Job* PrioritizedGang(Micros now, int team, const std::vector<Job*>& gangs);
 
--- a/src/core/leader/gang_reservations.cpp
+++ b/src/core/leader/gang_reservations.cpp
@@ -11,11 +11,12 @@
 namespace badgershore {
 namespace {
 
-// A machine that is reserved already stays the first choice: its tasks have been stopped.
+// A machine that is already reserved for the gang stays the first choice, since its tasks have
+// already been stopped.
 constexpr double kReservedCost = -1;
 constexpr double kFailedMachinePenalty = 1e6;
 
-// What of the machine the gang's reservation may count on.
+// The part of the machine's resources that the gang's reservation may use.
 Resources ReservableRoom(const Machine& m, bool prioritized) {
   return prioritized ? m.type->size : m.type->size - m.GangUse();
 }
@@ -51,7 +52,7 @@
   return best;
 }
 
-// The machines of the zone (empty: of all) that may be reserved, cheapest first.
+// The zone's machines that may be reserved, cheapest first. An empty `zone` means all zones.
 std::vector<GangReservations::Candidate> GangReservations::Candidates(Micros now, const Job& gang,
                                                                       const std::string& zone,
                                                                       bool prioritized) const {
@@ -72,7 +73,7 @@
   return candidates;
 }
 
-// The first candidates that hold all missing members together; empty if they can't.
+// The first candidates that together hold all missing members; empty if even all of them can't.
 std::optional<GangReservations::Selection> GangReservations::Select(
     const Job& gang, const std::vector<Candidate>& candidates, bool prioritized) const {
   Selection selection;
@@ -92,7 +93,7 @@
   return selection;
 }
 
-// Returns whether some of the machines are not free of other gangs yet.
+// Returns whether other gangs still use resources of some of the machines that the gang needs.
 bool GangReservations::Reserve(const Selection& selection, const Job& gang, bool prioritized) {
   int members = 0;
   bool after_gangs = false;
--- a/src/core/leader/gang_reservations.h
+++ b/src/core/leader/gang_reservations.h
@@ -1,4 +1,4 @@
-// Machines reserved for gangs that wait.
+// Reservations of machines for waiting gangs.
 #pragma once
 
 #include <optional>
@@ -11,19 +11,19 @@
 
 namespace badgershore {
 
-// Reserves machines for waiting gangs and has them cleared. Even spreading leaves no machine empty
-// enough for a large member, so a gang would wait for ever without a reservation. A gang reserves
-// machines for all of its missing members or none: two gangs that each held half of what they need
-// would wait for each other.
+// Reserves machines for waiting gangs and has them cleared. Tasks are spread evenly, which leaves
+// no machine empty enough for a large member, so a gang would wait forever without a reservation. A
+// gang reserves machines for all of its missing members or for none: two gangs that each held half
+// of what they need would wait for each other forever.
 class GangReservations : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Replaces the gang's reservation by the machines that cost least to clear, and preempts lower
-  // work there. A prioritized gang may also reserve machines where other gangs run: it waits for
-  // their end, and other work goes on there until then.
+  // Replaces the gang's reservation by the machines that cost least to clear, and preempts tasks
+  // there as far as the gang may. A prioritized gang may also reserve machines where other gangs
+  // run. It then waits until those have ended; other tasks keep running there until then.
   void ReserveFor(Micros now, Job* gang, bool prioritized);
-  // Gives up all machines reserved for the gang. Does nothing if it has none.
+  // Releases all machines reserved for the gang. Does nothing if there are none.
   void ReleaseReservation(Job* gang);
 
  private:
--- a/src/core/leader/gang_scheduler.cpp
+++ b/src/core/leader/gang_scheduler.cpp
@@ -45,7 +45,7 @@
 void GangScheduler::AdvanceAttempt(Micros now, Job* gang) {
   scaler().RecordGangDemand(gang->spec, now);
   if (gang->placed == 0) {
-    // Every member is proved gone; the next attempt is a new one.
+    // All members are known to have ended, so the next placement begins a new attempt.
     gang->gang_attempt = 0;
     gang->gang_attempt_ran = gang->gang_stopping = false;
     if (now >= gang->backoff_until && !reconciler().MayStillRun(*gang)) {
@@ -54,20 +54,20 @@
     return;
   }
   if (gang->gang_stopping || gang->placed == gang->remaining()) return;
-  // A member is missing. Before the gang has run a replacement completes it; afterwards the others
-  // have nothing to wait for.
+  // A member is missing. If the gang has not run yet in this attempt, the member is replaced.
+  // Otherwise a replacement could not join, and the remaining members are stopped.
   if (gang->gang_attempt_ran) return StopGang(now, gang, {});
   if (!reconciler().MayStillRun(*gang)) gang_placement().Place(now, gang);
 }
 
-// A faulty gang gets no machines reserved: nothing else is stopped for it.
+// No machines are reserved for a faulty gang, so that no other task is preempted for it.
 bool GangScheduler::NeedsMachines(Micros now, const Job& gang) const {
   return gang.placed == 0 && now >= gang.backoff_until && !reconciler().MayStillRun(gang) &&
          !gang.IsFaulty();
 }
 
-// Whether the gang's team may run it, now or once work of lower rank has made room; claims that
-// room.
+// Whether the team's limit lets the gang run, now or after preemption of the team's tasks of lower
+// priority. Reserves the quota that the gang waits for.
 bool GangScheduler::CheckQuota(Micros now, Job* gang, bool prioritized) {
   const bool allowed = quota_checker().Allows(*gang, gang->remaining());
   const bool attainable =
@@ -75,7 +75,7 @@
   if (attainable) {
     gang->quota_blocked_since = allowed ? kNever : std::min(gang->quota_blocked_since, now);
   } else {
-    gang_reservations().ReleaseReservation(gang);  // reserved machines would stay empty
+    gang_reservations().ReleaseReservation(gang);  // its reserved machines would stay idle
     gang->quota_blocked_since = kNever;
   }
   // A prioritized gang also keeps its quota while its machines are being cleared.
@@ -83,8 +83,8 @@
   return attainable;
 }
 
-// For one gang at a time: the first that its team's limit has blocked for longer than the limit
-// patience.
+// Preempts for one gang at a time: the first one that its team's limit has blocked for longer than
+// the option limit_patience.
 void GangScheduler::PreemptForBlockedGang(Micros now, const std::vector<Job*>& waiting) {
   if (now < next_quota_preemption_at_) return;
   next_quota_preemption_at_ = now + kQuotaPreemptionInterval;
@@ -104,7 +104,7 @@
   gang->gang_stopping = true;
 }
 
-// Returns whether the machine has members to be told.
+// Returns whether stops have to be sent to the machine.
 bool GangScheduler::StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace) {
   bool any = false;
   for (auto it = m->allocations.begin(); it != m->allocations.end();) {
--- a/src/core/leader/gang_scheduler.h
+++ b/src/core/leader/gang_scheduler.h
@@ -1,4 +1,4 @@
-// The scheduling loop of gangs.
+// The scheduling loop for gangs.
 #pragma once
 
 #include <vector>
@@ -10,17 +10,17 @@
 namespace badgershore {
 
 // Serves the gangs in the order of GangQueue: starts and ends their attempts, reserves machines for
-// those that wait and preempts for those that their team's limit blocks.
+// waiting gangs, and preempts tasks for gangs that are blocked by their team's limit.
 class GangScheduler : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
   void Tick(Micros now);
-  // Ends the gang's attempt: withdraws members whose start has not been sent and stops the others
-  // within `grace`. All are told at once, since a member's checkpoint counts only while its peers
-  // still wait for it.
+  // Ends the gang's attempt: requeues members whose start has not been sent and stops the others
+  // with the grace period `grace`. All members are stopped at once, since a member's checkpoint is
+  // valid only while its peers still wait for it.
   void StopGang(Micros now, Job* gang, Micros grace);
-  // The gang is over.
+  // To be called when the gang has ended.
   void Remove(Job* gang);
 
  private:
--- a/src/core/leader/heartbeat_handler.cpp
+++ b/src/core/leader/heartbeat_handler.cpp
@@ -11,16 +11,17 @@
 namespace badgershore {
 namespace {
 
-// Covers rounding and the time between computing an answer and sending it.
+// Allows for rounding and for the time between computing an answer and sending it.
 constexpr Micros kAgentLeaseMargin = Millis(200);
-// An agent that still sends the old term this long after an answer does not receive answers. In
-// heartbeat intervals, plus a fixed part.
+// An agent that still sends the old term this long after it was answered does not receive answers.
+// In heartbeat intervals, plus a fixed margin.
 constexpr double kUnknownTermIntervals = 2.5;
 constexpr Micros kUnknownTermMargin = Seconds(4);
 
 }  // namespace
 
-// Only starts are bounded: the process may be suspended between a decision and its sending.
+// Only answers with starts have a time limit: the process may be paused between deciding on a start
+// and sending it.
 Micros HeartbeatHandler::ValidUntil(const std::vector<Command>& commands) const {
   const bool starts = std::any_of(commands.begin(), commands.end(), [](const Command& command) {
     return command.verb == Command::Verb::kStart;
@@ -32,13 +33,13 @@
                                                    const Heartbeat& heartbeat,
                                                    std::vector<Command>* commands) {
   if (!authority().MayAnswer(now)) return Outcome::kReject;
-  // Duplicates of heartbeats can arrive late, even for removed machines. No state of a machine may
+  // Duplicate heartbeats can arrive late, even for removed machines. A machine's state must not
   // change before the heartbeat is known to be the agent's latest.
   if (machine_table().IsTombstoned(heartbeat.machine)) return Outcome::kSuperseded;
   Machine* machine = machine_table().Find(heartbeat.machine);
   if (machine && machine->IsSuperseded(heartbeat)) return Outcome::kSuperseded;
-  // Starts go only to agents that have seen this term, so that they reject earlier leaders'
-  // commands.
+  // Starts are sent only to agents that have seen this term, since those reject commands of earlier
+  // leaders.
   if (heartbeat.fencing_token != election()->term()) {
     return AnswerUnknownTerm(now, heartbeat, commands);
   }
@@ -51,7 +52,7 @@
       heartbeat_processor().Process(now, machine, heartbeat, HeartbeatSource::kAgent);
   machine->heartbeat_sequence = heartbeat.sequence;
   machine->first_answered_at = {-1};
-  if (!fresh) {  // the answer to a direct call was newer
+  if (!fresh) {  // a direct call has returned newer state
     AgentClient::AppendStops(*machine, commands);
     return Outcome::kAnswer;
   }
@@ -68,7 +69,7 @@
     AddPending(now, machine, request_id);
     return Outcome::kAnswerLater;
   }
-  // A client may be waiting to see its job finish.
+  // A user may be waiting for the job to finish, so its end is written at once.
   if (record_writer().HasPendingJobEnds()) record_writer().WriteBatch(now);
   return Outcome::kAnswer;
 }
@@ -84,10 +85,10 @@
                now + settings().agent_lease.Scaled(1 + kClockDrift) + kAgentLeaseMargin);
 }
 
-// The age of such a heartbeat is unknown, so its content is not used. The answer tells the agent
-// the new term and stops its tasks of finished jobs: otherwise a quick succession of leaders could
-// extend their lease again and again. An agent that keeps sending the old term does not receive
-// the answers; it is rejected after a while so that its lease expires.
+// The age of such a heartbeat is unknown, so its state is not applied. The answer tells the agent
+// the new term and stops its tasks of finished jobs; otherwise leaders that follow each other
+// quickly could extend the lease of those tasks again and again. An agent that keeps sending the
+// old term does not receive the answers. It is rejected after a while, so that its lease expires.
 HeartbeatHandler::Outcome HeartbeatHandler::AnswerUnknownTerm(Micros now,
                                                               const Heartbeat& heartbeat,
                                                               std::vector<Command>* commands) {
@@ -120,7 +121,7 @@
   }
 }
 
-// An idle machine's answer is held back for a while, so that new work starts on it at once instead
+// The answer to an idle machine is delayed for a while. New tasks then start on it at once instead
 // of with its next heartbeat, seconds later.
 bool HeartbeatHandler::ShouldDelayAnswer(Micros now, const Machine& machine) const {
   return options().hold_checkin.count > 0 && machine.durable && machine.allocations.empty() &&
@@ -146,7 +147,7 @@
     answer.request_id = pending[i];
     answer.status = 200;
     answer.fencing_token = election()->term();
-    // Only the newest request is certain to be awaited still.
+    // The agent may have given up waiting for all but the newest request.
     if (i + 1 == pending.size()) AppendCommands(now, machine, &answer.commands);
     answer.valid_until = ValidUntil(answer.commands);
     outbox()->effects.heartbeat_responses.push_back(std::move(answer));
@@ -157,7 +158,7 @@
 void HeartbeatHandler::AppendForgets(const Machine& machine, std::vector<Command>* commands) const {
   for (const auto& [key, allocation] : machine.allocations) {
     if (!allocation.exited()) continue;
-    // The agent may forget a completion only once it is durable here.
+    // The agent may forget a completion only once the leader's record of it is durable.
     const bool completion_unrecorded =
         allocation.exit_reason == ExitReason::kDone && allocation.job &&
         !allocation.job->IsService() &&
--- a/src/core/leader/heartbeat_handler.h
+++ b/src/core/leader/heartbeat_handler.h
@@ -1,4 +1,4 @@
-// Answers to agents' heartbeats: the commands to stop, forget and start tasks.
+// Responses to agents' heartbeats, with the commands to stop, forget and start tasks.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace badgershore {
 
-// Decides how each heartbeat is answered and keeps the ones whose answer has to wait.
+// Decides how each heartbeat is answered and keeps the heartbeats whose answer is delayed.
 class HeartbeatHandler : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
@@ -16,8 +16,8 @@
   enum class Outcome {
     kAnswer,       // answer now, with the returned commands
     kAnswerLater,  // the answer follows among the effects, under the request's id
-    kReject,       // this controller may not answer: the agent has to look for another one
-    kSuperseded,   // the agent has sent a newer heartbeat, so nobody awaits this answer
+    kReject,       // this controller may not answer; the agent tries other controllers
+    kSuperseded,   // the agent has sent a newer heartbeat and no longer awaits this answer
   };
 
   // Processes a heartbeat. `commands` is filled in for Outcome::kAnswer only.
@@ -27,7 +27,7 @@
   void AnswerPending(Micros now, Machine* machine);
   // Answers the pending heartbeats of machines that have work, or that have waited long enough.
   void AnswerReady(Micros now);
-  // Until when an answer with these commands may leave this process; kNever: no bound.
+  // The time until which an answer with these commands may be sent; kNever: no limit.
   Micros ValidUntil(const std::vector<Command>& commands) const;
   // Rejects all pending heartbeats; for the end of the term.
   void RejectPending();
@@ -35,7 +35,7 @@
  private:
   // For an agent that has not seen this term's fencing token yet.
   Outcome AnswerUnknownTerm(Micros now, const Heartbeat& heartbeat, std::vector<Command>* commands);
-  // Notes that an answer lets the agent's tasks run for another agent lease.
+  // Records that an answer extends the agent's lease, during which its tasks keep running.
   void ExtendAgentLease(Micros now, Machine* machine) const;
   bool ShouldDelayAnswer(Micros now, const Machine& machine) const;
   void AddPending(Micros now, Machine* machine, RequestId request_id) const;
--- a/src/core/leader/heartbeat_processor.cpp
+++ b/src/core/leader/heartbeat_processor.cpp
@@ -11,7 +11,7 @@
 namespace badgershore {
 namespace {
 
-// Delays before a task that the agent refused is tried again.
+// Delays before a task is retried that the agent rejected, or a service replica restarted.
 constexpr Micros kServiceRestartDelay = Seconds(1);
 constexpr Micros kUnknownTaskDelay = Seconds(3);
 constexpr Micros kDuplicateTaskDelay = Seconds(1);
@@ -44,8 +44,8 @@
   return true;
 }
 
-// The agent's lease expired: all tasks of the old epoch have ended, and starts that were sent to it
-// will be rejected.
+// A new agent epoch begins when the agent's lease has expired: all tasks of the old epoch have
+// ended, and the agent rejects starts that were sent for it.
 void HeartbeatProcessor::EndAgentEpoch(Micros now, Machine* machine) {
   for (auto it = machine->allocations.begin(); it != machine->allocations.end();) {
     if (it->second.start_unsent) {
@@ -124,7 +124,8 @@
   usage_accounting().SetPhase(allocation, status.phase);
 }
 
-// An earlier leader may have started it, or this one before the lease was thought to have expired.
+// The task may have been started by an earlier leader, or by this one before it assumed that the
+// agent's lease had expired.
 Allocation* HeartbeatProcessor::AddUnknownTask(Micros now, Machine* machine,
                                                const TaskStatus& status, Job* job) {
   Allocation* allocation =
@@ -187,7 +188,7 @@
   if (is_current) job_table().RequeueTask(now, job, task, delay);
 }
 
-// Returns the delay before the task is tried again.
+// Returns the delay before the task is retried.
 Micros HeartbeatProcessor::OnTaskFailed(Micros now, Machine* machine, Job* job, int task) {
   outbox()->Debug("task " + job->spec.id + "/" + std::to_string(task) + " failed on " +
                   machine->id);
@@ -203,9 +204,9 @@
                                         HeartbeatSource source, const std::set<TaskKey>& listed) {
   for (auto it = machine->allocations.begin(); it != machine->allocations.end();) {
     Allocation& allocation = it->second;
-    // If the agent's next heartbeat does not list a start, it did not receive it and never will: it
-    // has one heartbeat in flight and drops late answers. The answer to a direct call proves
-    // nothing of a start that may still be on its way.
+    // If the agent's next heartbeat does not list a started task, the agent did not receive the
+    // start and never will: it has one heartbeat in flight and drops late answers. The response to
+    // a direct call proves nothing, since the start may still be in transit.
     const bool was_received =
         allocation.reported ||
         (source == HeartbeatSource::kAgent && heartbeat.sequence > allocation.sent_sequence);
--- a/src/core/leader/heartbeat_processor.h
+++ b/src/core/leader/heartbeat_processor.h
@@ -1,4 +1,4 @@
-// Application of heartbeats to the leader's state.
+// Applies heartbeats to the leader's state.
 #pragma once
 
 #include <set>
@@ -11,16 +11,16 @@
 
 enum class HeartbeatSource {
   kAgent,       // sent by the agent on its own
-  kDirectCall,  // in the answer to a call of the leader
+  kDirectCall,  // in the response to a direct call of the leader
 };
 
 // Updates a machine and the jobs on it from what a heartbeat proves: the agent is alive in this
-// epoch, the listed tasks are in these phases, and tasks that it no longer lists have ended.
+// epoch, the listed tasks are in the listed phases, and tasks that are no longer listed have ended.
 class HeartbeatProcessor : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
-  // False: the heartbeat is older than the last one and changes nothing.
+  // Returns false, without any effect, if the heartbeat is not newer than the last one.
   bool Process(Micros now, Machine* machine, const Heartbeat& heartbeat, HeartbeatSource source);
 
  private:
@@ -30,7 +30,7 @@
   void MarkUp(Micros now, Machine* machine);
   void RecordPreemptionNotice(Micros now, Machine* machine, Micros notice);
   void ProcessTask(Micros now, Machine* machine, const TaskStatus& status);
-  // Null: the job is over or has no such task.
+  // Null if the job has ended or has no such task.
   Job* FindJob(const TaskRef& ref) const;
   Allocation* AddUnknownTask(Micros now, Machine* machine, const TaskStatus& status, Job* job);
   void NoteGangRunning(Micros now, Job* gang);
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -16,16 +16,17 @@
 namespace badgershore {
 namespace {
 
-// A cancellation is recorded within this, or its user is told to ask again.
+// A cancellation is recorded within this time, or its user is asked to retry.
 constexpr Micros kCancelPendingTimeout = Seconds(5);
 
-// Half of what users accept.
+// Half of the time without progress that users accept.
 constexpr Micros kStarvationTimeout = Seconds(45);
 
 constexpr int64_t kMaxJobAgeMs = 86400000;
 
-// Run times relative to the estimate between which a task can still meet its objective, if it
-// starts at once: estimates are often wrong by half.
+// Longest and shortest run time that a task is assumed to take, relative to its estimate: estimates
+// are often wrong by half. They bound the window in which the task has to start to meet its
+// objective.
 constexpr double kLongestRunFactor = 1.5;
 constexpr double kShortestRunFactor = 0.8;
 constexpr Micros kStartMargin = Seconds(10);
@@ -135,7 +136,7 @@
   }
 }
 
-// Takes the job out of everything that points to it.
+// Removes all references to the job.
 void JobTable::DetachJob(Micros now, Job* job) {
   for (auto& [id, m] : machine_table().machines()) {
     m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
@@ -163,7 +164,7 @@
   }
 }
 
-// Withdraws starts that have not been sent; returns whether the machine has tasks to be told.
+// Drops starts that have not been sent. Returns whether stops have to be sent to the machine.
 bool JobTable::StopTasksOn(Machine* m, const std::string& id) {
   bool any = false;
   for (auto it = m->allocations.begin(); it != m->allocations.end();) {
@@ -241,8 +242,9 @@
   }
 }
 
-// Job by job, the earliest first, until the team's guarantee is used up: of an array as many tasks
-// as fit into what is left of it, a gang or service whole or not at all.
+// Goes through the team's jobs, earliest first, until its guarantee is used up. An array counts
+// with as many tasks as fit into the rest of the guarantee, a gang or service with all tasks or
+// none.
 void JobTable::MarkGuaranteedOf(Micros now, int team) {
   Resources room = quota_checker().Guarantee(team);
   room.mem = INT64_MAX / 2;  // memory is not guaranteed
--- a/src/core/leader/job_table.h
+++ b/src/core/leader/job_table.h
@@ -1,4 +1,4 @@
-// The jobs that are not over.
+// Table of the jobs that have not ended.
 #pragma once
 
 #include <map>
@@ -11,45 +11,47 @@
 
 namespace badgershore {
 
-// Tasks in one chunk of a job's durable progress.
+// Number of tasks in one chunk of a job's durable progress.
 constexpr int kChunkTasks = 4096;
 
-// Owns the jobs that are not over. Follows their durable records, and keeps what of each job is
-// waiting, done or being cancelled.
+// Owns the jobs that have not ended. Follows their durable records, and tracks which tasks of each
+// job are waiting or done and whether the job is being cancelled.
 class JobTable : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
   using Jobs = std::map<std::string, std::unique_ptr<Job>>;  // by id
 
   const Jobs& jobs() const { return jobs_; }
-  // Null: not known, or over.
+  // Null if the job is unknown or has ended.
   Job* Find(const std::string& id) const;
-  // A job's durable record has been read, has changed or is gone.
+  // Applies a job's durable record that has been read, changed or deleted.
   void ApplyJobRecord(Micros now, const Entry& e);
-  // Its record is gone: it is finished or cancelled. Stops all that still runs of it; does nothing
-  // for an unknown job.
+  // The job's record was deleted, since the job is finished or cancelled. Stops all its remaining
+  // tasks. Does nothing for an unknown job.
   void EndJob(Micros now, const std::string& id);
-  // A task has completed; a gang's tasks complete together. Finishes the job with its last task.
+  // A task has completed; a gang's tasks complete together. After the last task the job's end is
+  // written.
   void MarkDone(Micros now, Job* job, int task);
-  // A node is recording the job's cancellation: nothing of it starts for a while. Whether it is
-  // cancelled its record alone says. The job may be unknown here yet.
+  // A controller is recording the job's cancellation: no task of it starts for a while. Only the
+  // job's record decides whether it is cancelled. The job may still be unknown here.
   void MarkCancelPending(Micros now, const std::string& job);
-  // Lets jobs go on whose cancellation was not recorded in time.
+  // Resumes jobs whose cancellation was not recorded in time.
   void ExpirePendingCancellations(Micros now);
-  // Marks the arrays and services of which nothing has moved for long.
+  // Marks the arrays and services that have made no progress for long.
   void MarkStarved(Micros now);
-  // A task that was queued or on a machine waits again, but not before `pause` is over.
+  // Returns a task that was queued or placed to the waiting tasks, after `pause`.
   void RequeueTask(Micros now, Job* job, int task, Micros pause);
   // Counts for each job how many of its tasks are within its team's guarantee.
   void MarkGuaranteed(Micros now);
-  // Brings `smallest_need` up to date, once a tick.
+  // Recomputes `smallest_need`; called once a tick.
   void UpdateSmallestNeed();
-  // A lower bound of what a task of any array or service needs. May be too low until the next tick.
+  // A lower bound on the resources of a task of any array or service. May be too low until the next
+  // tick.
   const Resources& smallest_need() const { return smallest_need_; }
 
-  // Zero counts for an unknown job.
+  // All counts are zero for an unknown job.
   JobStatus Status(const std::string& job) const;
-  // Of jobs with some task running or done, by id; a few thousand at most.
+  // The status of the jobs with running or completed tasks, in order of id; at most 2000.
   std::vector<JobStatus> Statuses() const;
 
  private:
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -5,16 +5,16 @@
 namespace badgershore {
 namespace {
 
-// Ticks come every 100 ms: a longer gap between two means that the process was stalled.
+// The leader ticks every 100 ms. A gap longer than this means that the process was stalled.
 constexpr Micros kStallThreshold = Seconds(1);
 
-// A watch without changes is answered after this long, which bounds how old the knowledge of
-// cancellations is while nothing changes.
+// Timeout of a watch without changes. It bounds the age of the known cancellations while nothing
+// changes.
 constexpr Micros kJobWatchTimeout = Millis(500);
 
 constexpr Micros kLoadRetryDelay = Millis(300);
 
-// Heartbeats that arrive before the records are read.
+// Limits on heartbeats that wait until the records are loaded.
 constexpr Micros kEarlyHeartbeatTimeout = Seconds(2);
 constexpr size_t kMaxEarlyHeartbeats = 4096;
 
@@ -79,14 +79,15 @@
   context_.stuck_job_detector = &stuck_job_detector_;
 }
 
-// The authority rests on the cache, which knows up to when cancellations are known.
+// The leader's authority depends on the cache, which knows up to which time cancellations are
+// known.
 void Leader::FollowJobRecords() {
   jobs_cache_ = std::make_unique<KeyRangeCache>(
       context_.outbox, keys::kJob,
       [this](Micros t, const Entry& e) { job_table_.ApplyJobRecord(t, e); },
       [this](Micros) {
         if (std::exchange(jobs_loaded_, true)) return;
-        // Progress is read after the jobs, so that each finds its job.
+        // Progress is loaded after the jobs, since each progress record refers to its job.
         LoadPrefix(keys::kProgress, "");
         LoadPrefix(keys::kFleet, "");
         if (quota_shares_.alone()) return;
@@ -109,7 +110,8 @@
   op.start_after = after;
   context_.outbox->SendState(op, [=, this, alive = context_.alive](Micros now, StateResponse& r) {
     if (!*alive) return;
-    // Not at once: in an outage retries would use up the request rate that users need.
+    // The retry is delayed: in an outage, immediate retries would use up the request rate that user
+    // requests need.
     if (!r.ok()) return failed_loads_.push_back({now + kLoadRetryDelay, prefix, after});
     for (const Entry& e : r.entries) {
       record_writer_.Load(now, e);
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -1,6 +1,6 @@
-// One term of leadership: everything that the leader knows and decides, in components that each own
-// their state (see leader_component.h). It loads the durable records, then answers heartbeats and
-// ticks its components in a fixed order.
+// One term of leadership. The leader's state and decisions are split into components that each own
+// their state (see leader_component.h). The leader loads the durable records, then answers
+// heartbeats and ticks its components in a fixed order.
 #pragma once
 
 #include <deque>
@@ -37,26 +37,27 @@
 
 namespace badgershore {
 
-// What the current term rests on, for GET /metrics.
+// Gauges of the current term, for GET /metrics.
 struct LeaderGauges {
   uint64_t term = 0;  // the fencing token
   size_t unreconciled_machines = 0;
   int machines_with_unknown_tasks = 0;
   int64_t uncertain_millicores = 0;
-  uint64_t uncertain_placements = 0;  // for limited teams, while use was uncertain
-  Micros cancellations_age;           // every older cancellation is known
+  uint64_t uncertain_placements = 0;  // of limited teams' tasks, while use was uncertain
+  Micros cancellations_age;           // all cancellations older than this are known
 };
 
 class Leader {
  public:
-  // `context` names what is outside of the term; its start and its components are set here.
+  // `context` holds the objects that outlive the term. The constructor sets the term's start and
+  // the component pointers.
   Leader(LeaderContext context, Micros now, int64_t time_of_day_ms);
   ~Leader();
 
   void Tick(Micros now);
-  // Answers a heartbeat. kAnswerLater: the response is among the effects later, by its request id.
-  // Until the records are read every answer waits, since an answer would extend the lease of tasks
-  // whose jobs may be cancelled.
+  // Answers a heartbeat. kAnswerLater: the response follows among the effects, under the request's
+  // id. All answers wait until the records are loaded, since an answer would extend the agent lease
+  // of tasks whose jobs may have been cancelled.
   using HeartbeatOutcome = HeartbeatHandler::Outcome;
   HeartbeatOutcome HandleHeartbeat(Micros now, RequestId request_id, const Heartbeat& heartbeat,
                                    std::vector<Command>* commands);
@@ -65,7 +66,7 @@
   Micros ValidUntil(const std::vector<Command>& commands) const {
     return heartbeat_handler_.ValidUntil(commands);
   }
-  // The term has ended: heartbeats that still wait for an answer are rejected.
+  // Rejects all heartbeats that still wait for an answer; for the end of the term.
   void RejectPending();
   void OnCell(Micros now, const limits::CellMessage& message) {
     quota_shares_.OnMessage(now, message);
@@ -73,7 +74,8 @@
   void MarkCancelPending(Micros now, const std::string& job) {
     job_table_.MarkCancelPending(now, job);
   }
-  // The cancellation is durable: tasks are stopped at once, even if this leader can't read it.
+  // The job's cancellation is durable: stops its tasks at once, even if this leader can't read the
+  // record itself.
   void EndCancelledJob(Micros now, const std::string& job) {
     job_table_.MarkCancelPending(now, job);
     job_table_.EndJob(now, job);
@@ -88,7 +90,7 @@
   std::string Explain(Micros now, const std::string& job) const {
     return stuck_job_detector_.Explain(now, job);
   }
-  // The first difference between the counts and a full recount; empty: none.
+  // Describes the first difference between the counts and a full recount; empty if there is none.
   std::string VerifyCounts() const { return usage_accounting_.VerifyCounts(); }
 
  private:
@@ -118,7 +120,7 @@
     RequestId request_id = 0;
     Heartbeat heartbeat;
   };
-  std::deque<EarlyHeartbeat> early_heartbeats_;  // arrived before the records were read
+  std::deque<EarlyHeartbeat> early_heartbeats_;  // arrived before the records were loaded
   Autoscaler scaler_;
   FaultAttribution fault_attribution_;
   JobTable job_table_;
--- a/src/core/leader/leader_component.h
+++ b/src/core/leader/leader_component.h
@@ -1,5 +1,5 @@
-// The base of a leader's components: access to what is outside of the term and to each other.
-// A component's state is its own; others read and change it through its public functions alone.
+// Base class of the leader's components. It gives access to the objects that outlive a term and to
+// the other components. Each component owns its state; others use only its public functions.
 #pragma once
 
 #include <functional>
@@ -50,7 +50,7 @@
   std::function<bool()> types_known;
 
   Micros began;
-  int64_t began_ms = 0;  // the time of day at `began`
+  int64_t began_ms = 0;  // time of day at `began`, in milliseconds
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   AgentClient* agent_client = nullptr;
@@ -121,7 +121,7 @@
   FairShare& fair_share() const { return *context_->fair_share; }
   StuckJobDetector& stuck_job_detector() const { return *context_->stuck_job_detector; }
 
-  // Wraps a callback so that it does nothing after the term has ended.
+  // Wraps a response callback so that it does nothing once the term has ended.
   template <typename F>
   auto Guarded(F f) const {
     return [alive = context_->alive, f = std::move(f)](Micros now, auto& r) {
--- a/src/core/leader/machine_table.cpp
+++ b/src/core/leader/machine_table.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr Micros kTombstoneLifetime = Seconds(600);
-// How long after a release the cloud may list a machine, in list lags, plus a fixed part.
+// How long after its release the cloud may still list a machine, in list lags, plus a fixed margin.
 constexpr double kReleaseRetryLags = 4;
 constexpr Micros kReleaseRetryMargin = Seconds(10);
 
@@ -44,16 +44,16 @@
   machine->durable = true;
   machine->stage = MachineStage::kUp;
   machine->last_contact_at = machine->last_heartbeat_at = now;
-  // An earlier leader may have extended the agent's lease for as long as a leader may without the
-  // state service.
+  // An earlier leader may have extended the agent's lease for the longest time for which a leader
+  // may do so without the state service.
   machine->agent_lease_until = now + (settings().cancel_deadline - settings().agent_lease) +
                                settings().agent_lease.Scaled(1 + kClockDrift);
   reconciler().MarkUnreconciled(machine);
 }
 
 bool MachineTable::IsReady(const Machine& machine, Micros now) const {
-  // Starts travel in the answers to heartbeats, so a machine without heartbeats can't start tasks
-  // even if it answers direct calls.
+  // Starts are sent in heartbeat responses, so no task can be started on a machine without
+  // heartbeats even if it answers direct calls.
   return machine.stage == MachineStage::kUp && machine.type && machine.reconciled &&
          !machine.draining && !machine.preemption_at &&
          now - machine.last_heartbeat_at < options().silent_probe + settings().heartbeat_interval &&
@@ -100,8 +100,8 @@
 
 void MachineTable::ReleaseMachine(Micros now, Machine* machine, const std::string& reason) {
   if (machine->stage == MachineStage::kTerminating) return;
-  // Without the lease another leader may be using the machine. The reason to release it is found
-  // again once the lease is confirmed.
+  // Without a confirmed lease another leader may be using the machine. Once the lease is confirmed,
+  // the check that led here is repeated.
   if (!election()->MayStart(now)) return;
   outbox()->Info("releasing machine " + machine->id + " (" + machine->type_name +
                  (machine->spot ? ", spot" : "") + "): " + reason + ", held " +
--- a/src/core/leader/machine_table.h
+++ b/src/core/leader/machine_table.h
@@ -10,16 +10,17 @@
 
 namespace badgershore {
 
-// Owns the machines known in this term, from their first mention until the cloud has removed them.
+// Owns the machines known in this term, from when they are first seen until the cloud has removed
+// them.
 class MachineTable : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
   using Machines = std::map<std::string, std::unique_ptr<Machine>>;  // by id
 
   const Machines& machines() const { return machines_; }
-  // Null: not known.
+  // Null if the machine is unknown.
   Machine* Find(const std::string& id) const;
-  // Adds the machine unless it is known.
+  // Returns the machine, and adds it if it is unknown.
   Machine* FindOrAdd(Micros now, const MachineRecord& record);
   // Adds a machine from its durable record. An earlier leader may have started tasks on it, so it
   // has to be reconciled.
@@ -29,18 +30,19 @@
   // Scales in: asks the cloud to terminate the machine. No effect without a confirmed lease.
   void ReleaseMachine(Micros now, Machine* machine, const std::string& reason);
 
-  // May be given tasks.
+  // Whether tasks may be started on the machine.
   bool IsReady(const Machine& machine, Micros now) const;
   // Looks up the machine's type, if it is not known yet.
   void UpdateType(Machine* machine);
-  // The allocation is proved not to be on the machine: its task returns to the queue.
+  // The allocation is known not to be on the machine: requeues its task.
   void OnAllocationLost(Micros now, Machine* machine, const Allocation& allocation);
-  // All of the machine's allocations are proved to have ended.
+  // Removes all of the machine's allocations, which are known to have ended, and requeues their
+  // tasks.
   void DropAllocations(Micros now, Machine* machine);
 
-  // Was removed a short while ago; messages about it may still arrive.
+  // Whether the machine was removed recently, so that delayed messages about it may still arrive.
   bool IsTombstoned(const std::string& id) const { return tombstones_.contains(id); }
-  // A tombstoned machine is still listed by the cloud. True: its release has to be repeated now.
+  // The cloud still lists a tombstoned machine. Returns whether to repeat its release now.
   bool ShouldRetryRelease(Micros now, const std::string& id);
   void ExpireTombstones(Micros now);
 
--- a/src/core/leader/machine_time_accounting.h
+++ b/src/core/leader/machine_time_accounting.h
@@ -1,4 +1,4 @@
-// What the time of the term's machines was used for, by machine type, for the log.
+// Breakdown of machine time in this term, by machine type, for the log.
 #pragma once
 
 #include <map>
@@ -9,12 +9,12 @@
 
 namespace badgershore {
 
-// Sums over the term. It only serves the log: no decision depends on it.
+// Sums up machine time over the term. Only for the log: no decision depends on it.
 class MachineTimeAccounting : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Adds the time since the last call, which is taken to be short.
+  // Adds the time since the last call. The machines' state is assumed unchanged since then.
   void Update(Micros now);
   // One line for each machine type.
   void Log() const;
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -21,7 +21,7 @@
 constexpr Micros kThrottledInterval = Seconds(2);
 constexpr Micros kRetryInterval = Seconds(1);
 constexpr Micros kLogInterval = Seconds(5);
-// A new leader scales nothing for so long while machines have not told what they run.
+// A new leader postpones scaling by up to this long while machines are unreconciled.
 constexpr Micros kMaxReconciliationWait = Seconds(3);
 
 }  // namespace
@@ -31,7 +31,7 @@
 
 void Provisioner::Tick(Micros now) {
   inventory_.Tick(now);
-  // Past the lease another leader may be scaling the fleet.
+  // After the lease has expired, another leader may be scaling the fleet.
   if (!election()->MayStart(now)) return;
   RetryScaleOuts(now);
   if (now >= next_scale_at_ && types_known()) Scale(now);
@@ -137,7 +137,7 @@
   for (; count > kMaxInstancesPerScaleOut; count -= kMaxInstancesPerScaleOut) {
     ScaleOut(now, offer, kMaxInstancesPerScaleOut);
   }
-  // Unique for ever, since the term is this leader's alone.
+  // Unique across all leaders, since no other leader has this term.
   const std::string request_name =
       "t" + std::to_string(election()->term()) + "-" + std::to_string(++scale_out_requests_);
   pending_scale_outs_[request_name] = PendingScaleOut{offer, count, 0, false, now};
@@ -173,7 +173,7 @@
     OnScaledOut(now, request, response);
   } else if (response.outcome == Outcome::kUnknown &&
              ++request.unknown_outcomes < kMaxUnknownOutcomes) {
-    // Under the same name, since it may have been carried out.
+    // Retried under the same name, since the request may have been carried out.
     request.retry_at = now + kRetryInterval;
     return;
   }
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -19,7 +19,7 @@
  public:
   explicit Provisioner(const LeaderContext* context);
 
-  // Sends the requests that are due and, once a second, takes and carries out a decision.
+  // Sends the requests that are due. Once a second, requests a scaling decision and applies it.
   void Tick(Micros now);
   // Queues the instance for the next scale-in request; retried until the cloud confirms it.
   void RequestScaleIn(const std::string& machine) { scale_in_queue_.push_back(machine); }
@@ -54,7 +54,7 @@
   CloudInventory inventory_;
   MachineTimeAccounting machine_time_;
   Micros next_scale_at_, next_log_at_;
-  uint64_t scale_out_requests_ = 0;                            // so many were named in this term
+  uint64_t scale_out_requests_ = 0;                            // number of requests in this term
   std::map<std::string, PendingScaleOut> pending_scale_outs_;  // by request name
   std::vector<std::string> scale_in_queue_;
   bool scale_in_in_flight_ = false;
--- a/src/core/leader/quota_checker.h
+++ b/src/core/leader/quota_checker.h
@@ -10,16 +10,16 @@
 
 namespace badgershore {
 
-// Knows each team's limit and guarantee and tells whether more tasks of a job fit within the
-// limit. Uncertain use counts as used by every team, so that a limit holds during failovers too.
+// Holds each team's limit and guarantee, and checks whether more tasks of a job fit within the
+// limit. Uncertain use counts as used by every team, so that limits also hold during failovers.
 class QuotaChecker : public LeaderComponent {
  public:
   explicit QuotaChecker(const LeaderContext* context);
 
-  // The team's index in the settings; -1: none of this name.
+  // The team's index in the settings; -1 if there is no team of this name.
   int TeamIndex(const std::string& name) const;
 
-  // Replaces the team's quota: the settings' values, or this cell's share of them.
+  // Replaces the team's quota, which is either that of the settings or this cell's share of it.
   // limits::kUnlimited: no limit.
   void SetQuota(int team, const Resources& limit, const Resources& guarantee);
   const Resources& Limit(int team) const { return quotas_[team].limit; }
@@ -29,20 +29,21 @@
            (Limit(team).cpu < limits::kUnlimited || Limit(team).gpu < limits::kUnlimited);
   }
 
-  // The team stays within its limit with `tasks` more tasks of the job, whatever the uncertain
-  // machines run, and leaves free what is reserved for gangs that go before the job.
+  // Whether the team stays within its limit with `tasks` more tasks of the job, even if all
+  // uncertain use is its own, and with what is reserved for gangs that go before the job.
   bool Allows(const Job& job, int tasks) const;
-  // What Allows() is short of; zero if it holds or the team has no limit.
+  // The resources that are missing for Allows() to hold; zero if it holds or the team has no limit.
   Resources Shortfall(const Job& job, int tasks) const;
-  // Allows() would hold after preempting all of the team's preemptible tasks of lower priority.
+  // Whether Allows() would hold once all of the team's preemptible tasks of lower priority were
+  // preempted.
   bool AllowsAfterPreemption(const Job& job, int tasks) const;
-  // The CPU, in millicores, that the team's gangs of this priority may still take within the
-  // limit, by preemption if need be. INT64_MAX: no limit.
+  // The CPU, in millicores, that the team's gangs of this priority may still use within the limit,
+  // including what they may preempt. INT64_MAX: no limit.
   int64_t RoomForGangs(int team, Priority priority) const;
 
   // The team's use, limit and reservations, for the log.
   std::string Describe(int team) const;
-  // The same of all limited teams.
+  // The same for all limited teams.
   std::string Summary() const;
 
  private:
--- a/src/core/leader/quota_log.cpp
+++ b/src/core/leader/quota_log.cpp
@@ -16,7 +16,7 @@
 
 std::string TaskName(const TaskRef& ref) { return ref.job + "/" + std::to_string(ref.task); }
 
-// The first task on the machine whose job's team is not known; empty: none.
+// The first task on the machine whose team is unknown; empty if there is none.
 std::string FirstUnknownTask(const Machine& machine) {
   for (const auto& [key, allocation] : machine.allocations) {
     if (allocation.team < 0 && !allocation.exited()) return TaskName(allocation.ref);
--- a/src/core/leader/quota_log.h
+++ b/src/core/leader/quota_log.h
@@ -1,4 +1,4 @@
-// Log lines on quota decisions that rest on uncertain use.
+// Log lines on quota decisions that are made while resource use is uncertain.
 #pragma once
 
 #include <cstdint>
@@ -11,9 +11,10 @@
 
 namespace badgershore {
 
-// While some use is uncertain (after a failover, or beside tasks of unknown jobs) writes a line
-// when it changes, at most one a second: how much may be in use, on which machines, and what was
-// placed for limited teams. Silent otherwise, so that it costs nothing at the usual rate of starts.
+// While some use is uncertain (after a failover, or because of tasks of unknown jobs) logs each
+// change, at most once a second: how much may be in use, on which machines, and which tasks of
+// limited teams were placed. Logs nothing otherwise, so that it has no cost at the usual start
+// rate.
 class QuotaLog : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
@@ -22,7 +23,7 @@
   void RecordPlacement(const Job& job, int task, const Machine& machine);
   void Tick(Micros now);
 
-  // Placements for limited teams in this term while some use was uncertain.
+  // The number of tasks of limited teams placed in this term while some use was uncertain.
   uint64_t uncertain_placements() const { return uncertain_placements_; }
 
  private:
--- a/src/core/leader/quota_reservations.cpp
+++ b/src/core/leader/quota_reservations.cpp
@@ -30,13 +30,13 @@
   const TeamReservations& team = teams_[job.team];
   const auto own = static_cast<size_t>(job.spec.priority);
   Resources reserved;
-  // A starved job may use what gangs of higher priority can't use yet, or it would lie idle. Its
-  // tasks are preempted when the gang can start.
+  // A starved job may use quota that gangs of higher priority have reserved but can't use yet;
+  // otherwise it would stay unused. Its tasks are preempted when the gang can start.
   for (size_t higher = 0; higher < own && !job.starved; ++higher) {
     reserved = reserved + team.total[higher];
   }
-  // An array waits for one gang of its own priority only: an endless supply of gangs must not
-  // starve it.
+  // An array waits for only one gang of its own priority, so that a continuous stream of gangs
+  // doesn't starve it.
   return reserved + (job.IsGang() ? team.total : team.first)[own];
 }
 
--- a/src/core/leader/quota_reservations.h
+++ b/src/core/leader/quota_reservations.h
@@ -1,4 +1,4 @@
-// Reservations of teams' quota for gangs that wait for it.
+// Reservations of teams' quota for waiting gangs.
 #pragma once
 
 #include <array>
@@ -11,20 +11,20 @@
 
 namespace badgershore {
 
-// While a gang waits for its team's limit, other work of no higher priority leaves its reservation
-// free: smaller tasks would otherwise take each bit of quota that becomes free. The reservations
-// are made anew in each tick.
+// While a gang waits for quota, its reservation can't be used by other jobs whose priority is not
+// higher: otherwise smaller tasks would take all quota that becomes free, bit by bit. The
+// reservations are rebuilt in each tick.
 class QuotaReservations : public LeaderComponent {
  public:
   explicit QuotaReservations(const LeaderContext* context);
 
-  // Reserves quota for so many members of the gang; no effect if its team has no limit.
+  // Reserves quota for this number of members of the gang; no effect if its team has no limit.
   void Reserve(const Job& gang, int members);
   // Drops all reservations.
   void Clear();
-  // All that is reserved in the team.
+  // The sum of the team's reservations.
   Resources Reserved(int team) const;
-  // What is reserved in the job's team and has to be left free by the job.
+  // The sum of the reservations of the job's team that the job may not use.
   Resources ReservedBefore(const Job& job) const;
 
  private:
--- a/src/core/leader/quota_shares.cpp
+++ b/src/core/leader/quota_shares.cpp
@@ -12,12 +12,14 @@
 
 constexpr Micros kSendInterval = Millis(500);
 constexpr Micros kUpdateInterval = Millis(300);
-// After that a message goes to all controllers of a cell, not to its last known leader.
+// If a cell has sent no message for this long, messages go to all of its controllers instead of its
+// last known leader.
 constexpr Micros kLeaderExpires = Seconds(3);
-// Transfers received or acknowledged meanwhile share a write.
+// Transfers that are received or acknowledged within this interval share a write.
 constexpr Micros kWriteInterval = Millis(400);
 constexpr Micros kWriteRetryDelay = Millis(300);
-// A team whose limit has had room for so long waits for machines, not for quota.
+// If the limit has let a team's tasks start for this long and they still wait, the team is short of
+// machines rather than quota.
 constexpr Micros kMachineShortageAfter = Seconds(20);
 
 limits::ResourceAmounts TotalsOf(const Team& team) {
@@ -120,7 +122,7 @@
       usage_accounting().Used(static_cast<int>(team)) + usage_accounting().uncertain_use();
   const Resources& guarantee = settings().teams[team].guarantee;
   demand.used = {used.cpu, used.gpu, 0, 0};
-  // Where the limit has room and work waits all the same, more quota would lie idle.
+  // If tasks wait although the limit would let them start, more quota would stay unused.
   Micros& allowed_since = allowed_since_[team];
   allowed_since = work.allowed ? std::min(allowed_since, now) : kNever;
   const bool lacks_machines = work.allowed && now - allowed_since > kMachineShortageAfter;
@@ -191,8 +193,8 @@
   }
 }
 
-// Conditional on the term and on the version that was read, so that no other leader's record is
-// overwritten. A repeated write after an unknown outcome is identical.
+// The write is conditional on the term and on the record's known version, so that it can't
+// overwrite another leader's record. A retry after an unknown outcome writes the same record.
 void QuotaShares::WriteRecord(Micros now) {
   if (writing_ || now < write_at_ || !election()->leads()) return;
   const std::optional<limits::QuotaRecord> record = ledger_->RecordToWrite();
@@ -213,7 +215,7 @@
   record_version_ = version;
   ledger_->OnWritten(number);
   UpdateOccupancy();
-  send_at_ = now;  // the other cells wait for what is durable now
+  send_at_ = now;  // the other cells wait for the changes that are durable now
 }
 
 void QuotaShares::OnWriteResponse(Micros now, const StateResponse& response, uint64_t number) {
@@ -225,10 +227,10 @@
   const auto& failed = response.failed_keys;
   if (response.outcome == StateResponse::Outcome::kConflict &&
       std::find(failed.begin(), failed.end(), keys::kTerm) != failed.end()) {
-    return election()->StepDown(now, "the term has moved on");
+    return election()->StepDown(now, "a later term has begun");
   }
   write_at_ = now + kWriteRetryDelay;
-  if (response.outcome == StateResponse::Outcome::kRefused) return;  // retried as it is
+  if (response.outcome == StateResponse::Outcome::kRefused) return;  // the same write is retried
   ReloadRecord(number);
 }
 
@@ -244,7 +246,7 @@
 void QuotaShares::OnReloadResponse(Micros now, const StateResponse& response, uint64_t number) {
   writing_ = false;
   write_at_ = now + kWriteRetryDelay;
-  if (!response.ok() || response.entries.empty()) return;  // the write is retried as it is
+  if (!response.ok() || response.entries.empty()) return;  // the same write is retried
   const Entry& entry = response.entries[0];
   const auto* record = std::get_if<limits::QuotaRecord>(&entry.value);
   if (record && record->number == number) {
@@ -257,7 +259,7 @@
 std::string QuotaShares::Summary() const {
   if (alone()) return "";
   return ledger_->restricted_to_floor_reason().empty()
-             ? "; cells not heard " + std::to_string(ledger_->UnheardCells().size())
+             ? "; unreachable cells " + std::to_string(ledger_->UnheardCells().size())
              : "; quota restricted to the floor share";
 }
 
--- a/src/core/leader/quota_shares.h
+++ b/src/core/leader/quota_shares.h
@@ -16,34 +16,34 @@
 
 limits::Settings QuotaSettings(const CellsPlan& plan);
 
-// Reads and writes the ledger's durable record, exchanges messages with the other cells' leaders,
-// and tells Occupancy what may be used. Does nothing in a deployment of one cell, where the limits
-// of the settings hold as they are.
+// Loads and writes the quota ledger's durable record, exchanges messages with the other cells'
+// leaders, and sets the quotas of QuotaChecker to this cell's shares. Does nothing in a deployment
+// of one cell, where the limits of the settings apply unchanged.
 class QuotaShares : public LeaderComponent {
  public:
   explicit QuotaShares(const LeaderContext* context);
 
-  // There are no other cells.
+  // The deployment has no other cells.
   bool alone() const { return !ledger_; }
-  // An entry under the limits prefix, read before Begin.
+  // Loads an entry under the limits prefix. To be called before Begin().
   void Load(const Entry& entry);
-  // All records of the term have been read.
+  // To be called once all records have been loaded.
   void Begin(Micros now);
   void Tick(Micros now);
   void OnMessage(Micros now, const limits::CellMessage& message);
-  // For the log: whether all that is held may be used. Empty when alone.
+  // For the log: the unreachable cells, or that the quota is restricted. Empty in a single cell.
   std::string Summary() const;
-  // Null when alone.
+  // Null in a single cell.
   const limits::QuotaLedger* ledger() const { return ledger_.get(); }
 
  private:
-  // A team's jobs, as far as they matter for its demand.
+  // The properties of a team's jobs that determine its quota demand.
   struct TeamWork {
     limits::QuotaDemand demand;
     Resources waiting;                // of tasks without a machine
     Resources all;                    // of tasks that are not done
-    Resources largest;                // placed at once: the largest task or gang that waits
-    const Job* first_gang = nullptr;  // waits for the limit; the most urgent one
+    Resources largest;                // of the largest task or gang that waits to start
+    const Job* first_gang = nullptr;  // the most urgent gang that waits for quota
     bool allowed = false;             // some job waits although the limit would let it start
   };
   int64_t TimeOfDay(Micros now) const { return began_ms() + (now - began()).ToMillis(); }
@@ -57,7 +57,7 @@
   std::vector<std::string> AddressesOf(Micros now, const std::string& cell);
   void WriteRecord(Micros now);
   void OnWriteResponse(Micros now, const StateResponse& response, uint64_t number);
-  // After a write without a known outcome.
+  // Reads the record again after a write whose outcome is unknown.
   void ReloadRecord(uint64_t number);
   void OnReloadResponse(Micros now, const StateResponse& response, uint64_t number);
   void OnRecordWritten(Micros now, uint64_t version, uint64_t number);
@@ -69,9 +69,9 @@
   Micros write_at_;
   Micros send_at_;
   Micros update_at_;
-  std::map<std::string, std::string> leader_addresses_;  // by cell, as last heard
-  std::map<std::string, Micros> heard_at_;               // by cell
-  // By team's number: since when work has waited although the limit would let it start.
+  std::map<std::string, std::string> leader_addresses_;  // by cell, from its last message
+  std::map<std::string, Micros> heard_at_;               // by cell: of the last message
+  // By team index: since when tasks have been waiting although the limit would let them start.
   std::vector<Micros> allowed_since_;
   std::string logged_reason_;
 };
--- a/src/core/leader/reconciler.cpp
+++ b/src/core/leader/reconciler.cpp
@@ -40,8 +40,8 @@
 
 bool Reconciler::MayStillRun(const Job& job) const {
   if (job.cancel_pending) return true;
-  // No earlier leader can have started a job that was recorded after this term began: it starts
-  // nothing past its lease, which had expired by then.
+  // No earlier leader can have started a job that was recorded after this term began: a leader
+  // starts nothing after its lease has expired, and the earlier leases had expired by then.
   if (unreconciled_.empty() || job.version > election()->term_version()) return false;
   return std::any_of(unreconciled_.begin(), unreconciled_.end(), [&job](const Machine* machine) {
     return !machine->type || Allows(job.spec, *machine->type, machine->zone, machine->spot);
@@ -50,7 +50,7 @@
 
 int Reconciler::ProbeUnreconciled(Micros now) {
   if (unreconciled_.empty()) return 0;
-  // Large machines first: they are few, and gangs wait for them.
+  // Large machines first, since they are few and gangs wait for them.
   std::vector<Machine*> by_size = unreconciled_;
   std::stable_sort(by_size.begin(), by_size.end(), [](const Machine* a, const Machine* b) {
     return (a->type ? a->type->size.cpu : 0) > (b->type ? b->type->size.cpu : 0);
--- a/src/core/leader/reconciler.h
+++ b/src/core/leader/reconciler.h
@@ -10,7 +10,7 @@
 
 namespace badgershore {
 
-// Why the tasks on a machine are known.
+// The event that made the tasks on a machine known.
 enum class ReconciliationProof {
   kDirectCall,   // its agent answered a call of this term
   kHeartbeat,    // its agent sent a heartbeat of this term
@@ -26,14 +26,15 @@
   using LeaderComponent::LeaderComponent;
 
   const std::vector<Machine*>& unreconciled() const { return unreconciled_; }
-  // The machine is on record, but its tasks are unknown.
+  // The machine has a durable record, but its tasks are unknown.
   void MarkUnreconciled(Machine* machine);
   // The machine's tasks are known, and no earlier leader can start any.
   void MarkReconciled(Micros now, Machine* machine, ReconciliationProof proof);
-  // Tasks of the job may run on an unreconciled machine, or its cancellation is being recorded.
-  // Nothing of such a job may be started.
+  // Whether tasks of the job may run on an unreconciled machine, or its cancellation is being
+  // recorded. No task of such a job may be started.
   bool MayStillRun(const Job& job) const;
-  // Begins probes of unreconciled machines. Returns how many; see AgentClient::kMaxProbesPerTick.
+  // Sends probes to unreconciled machines, at most AgentClient::kMaxProbesPerTick. Returns their
+  // number.
   int ProbeUnreconciled(Micros now);
 
  private:
--- a/src/core/leader/record_writer.cpp
+++ b/src/core/leader/record_writer.cpp
@@ -13,7 +13,7 @@
 
 // New machines within this time share a page write.
 constexpr Micros kMachinePagesInterval = Millis(250);
-// A page that nothing waits for collects changes for so long.
+// A page that is not urgent collects changes for this long before it is written.
 constexpr Micros kDirtyPageDelay = Millis(1500);
 constexpr Micros kRetryInterval = Millis(300);
 constexpr int kMinMutationsPerTransaction = 3;
@@ -28,7 +28,7 @@
 
 MachineRecord RecordOf(const Machine& m) { return {m.id, m.endpoint, m.type_name, m.zone, m.spot}; }
 
-// What an item takes of its page's value, at most.
+// Upper bounds of the size that an item takes in its page's value.
 size_t MachineItemBytes(const MachineRecord& r) {
   return kMachineItemOverheadBytes + r.id.size() + r.endpoint.size() + r.type.size() +
          r.zone.size();
@@ -43,8 +43,8 @@
   return std::find(list.begin(), list.end(), key) != list.end();
 }
 
-// Whether the failed transaction tells that this key's record is as the batch expected it, so that
-// it may be sent again without being read.
+// Whether the response to the failed transaction shows that this key's record is unchanged from
+// what the batch expected, so that the write may be retried without reading the record again.
 bool IsUnaffected(const StateResponse& response, const std::string& key) {
   using Outcome = StateResponse::Outcome;
   if (response.outcome == Outcome::kRefused) return true;
@@ -58,7 +58,7 @@
 
 }  // namespace
 
-// A transaction, and what to do when it is answered.
+// A transaction, and the data that is needed to process its response.
 struct RecordWriter::Batch {
   struct CompletedTask {
     std::string job;
@@ -74,8 +74,8 @@
     std::vector<CompletedTask> tasks;
   };
 
-  StateRequest request;  // empty once it is sent
-  size_t mutations = 0;  // what it cost of the rate limit
+  StateRequest request;  // empty once sent
+  size_t mutations = 0;  // tokens spent of the write budget
   bool has_machine_types = false;
   std::vector<std::string> job_ends;
   std::vector<PageWrite> pages;
@@ -104,7 +104,7 @@
                                      const ProgressChunk& chunk) {
   Job* job = FindJob(chunk.job);
   if (!job || chunk.chunk < 0 || static_cast<size_t>(chunk.chunk) >= job->progress_pages.size()) {
-    // Its job has ended: the page is written without it.
+    // The chunk's job has ended: the page is written without it.
     return progress_pages_.MarkDirty(page, false, now);
   }
   progress_pages_.AddItem(page, ProgressItem(chunk.job, chunk.chunk),
@@ -164,7 +164,7 @@
   return total <= MaxMutations() && write_budget_.Admits(total);
 }
 
-// What a task's start or a response waits for goes first.
+// Writes that a task's start or a response to a user waits for go first.
 void RecordWriter::WriteBatch(Micros now) {
   write_budget_.Refill(now);
   if (write_in_flight_ || now < next_write_at_ || !election()->leads()) return;
@@ -179,7 +179,7 @@
   if (!batch->request.mutations.empty()) Send(std::move(batch));
 }
 
-// Types first, their count last: whoever reads the count finds all of them.
+// The count is written last, so that a reader of the count finds all types.
 void RecordWriter::AddMachineTypes(Batch* batch) {
   std::vector<Mutation>& mutations = batch->request.mutations;
   for (const auto& [name, type] : machine_types_) {
@@ -197,7 +197,7 @@
 }
 
 void RecordWriter::AddUrgentMachines(Micros now, Batch* batch) {
-  // With few tokens left it is one page per interval, so that new machines share it.
+  // With few tokens left only one page is written per interval, so that new machines share it.
   while ((!write_budget_.IsScarce() || now >= next_machine_pages_at_) && HasRoom(*batch, 1)) {
     PagedRecords::Page* page = machine_pages_.NextToWrite(true, now, {});
     if (!page) return;
@@ -241,7 +241,7 @@
       CollectCompletedTasks(item, batch);
     }
   }
-  // Guarded by the page's version, so that an older write that is late can't undo a newer one.
+  // The page's version is a precondition, so that a delayed older write can't undo a newer one.
   StateRequest& request = batch->request;
   request.preconditions.push_back({page->key, page->version});
   if (deleted) {
@@ -331,12 +331,12 @@
   WriteBatch(now);
 }
 
-// Nothing was written, and the keys that differ are named: mostly of a job that was cancelled as it
-// ended. The rest is sent again at once, or one cancellation would delay all job ends and the first
-// starts on all new machines.
+// Nothing was written, and the response names the keys whose preconditions failed, usually of a job
+// that was cancelled as it ended. The rest is sent again at once; otherwise one cancellation would
+// delay all job ends and the first starts on all new machines.
 void RecordWriter::OnConflict(Micros now, const Batch& batch, const StateResponse& response) {
   if (Contains(response.failed_keys, keys::kTerm)) {
-    return election()->StepDown(now, "the term has moved on");
+    return election()->StepDown(now, "a later term has begun");
   }
   next_write_at_ = now;
   if (batch.has_machine_types) machine_types_dirty_ = true;
@@ -345,7 +345,8 @@
   if (!response.failed_keys.empty()) WriteBatch(now);
 }
 
-// Refused, or without an answer: then it may have been carried out, and all is read again first.
+// The write was refused, or its outcome is unknown. With an unknown outcome it may have been
+// carried out, so the records are read again before the retry.
 void RecordWriter::OnFailed(Micros now, const Batch& batch, const StateResponse& response) {
   next_write_at_ = now + kRetryInterval;
   const bool refused = response.outcome == StateResponse::Outcome::kRefused;
@@ -356,7 +357,7 @@
 }
 
 void RecordWriter::RequeueJobEnds(const Batch& batch, const StateResponse& response) {
-  // From the back, so that they keep their order at the front of the queue.
+  // In reverse, so that they keep their order at the front of the queue.
   for (auto job_end = batch.job_ends.rbegin(); job_end != batch.job_ends.rend(); ++job_end) {
     if (IsJobEndUnaffected(response, *job_end)) job_ends_.push_front(*job_end);
   }
@@ -386,7 +387,7 @@
   }
 }
 
-// When that fails too, the guard of the next write does, and the version is read again.
+// If this read fails too, the next write's precondition fails and the version is read again.
 void RecordWriter::RefreshPageVersion(PagedRecords* records, PagedRecords::Page* page) {
   StateRequest get;
   get.key = page->key;
--- a/src/core/leader/record_writer.h
+++ b/src/core/leader/record_writer.h
@@ -1,4 +1,4 @@
-// Writes what has to be durable: machines, the progress of jobs, their ends and the machine types.
+// Writes the leader's durable records: machines, job progress, job ends and machine types.
 #pragma once
 
 #include <deque>
@@ -14,27 +14,30 @@
 
 namespace badgershore {
 
-// One transaction at a time, within the state service's rate limit and guarded by the term.
+// Sends one transaction at a time, within the state service's rate limit. The term is a
+// precondition of each transaction.
 class RecordWriter : public LeaderComponent {
  public:
   RecordWriter(const LeaderContext* context, Micros now);
 
-  // Takes over a page that the state service held when the term began. Jobs must be known.
+  // Loads a page that the state service held when the term began. To be called after the jobs have
+  // been loaded.
   void Load(Micros now, const Entry& entry);
-  // No task may be started on the machine before `Machine::durable`.
+  // Queues the machine's record. No task may be started on the machine until `Machine::durable` is
+  // set.
   void PersistMachine(Micros now, Machine* machine);
   void RemoveMachine(Micros now, const std::string& machine);
-  // A task of the job has been completed.
+  // Queues the progress of the job, of which a task has completed.
   void PersistProgress(Micros now, Job* job, int task);
-  // The job has ended.
+  // Removes the progress of a job that has ended.
   void RemoveProgress(Micros now, const Job& job);
-  // All tasks of the job are done: its end is written, then JobTable::EndJob() called.
+  // Queues the end of a job whose tasks are all done. Once written, JobTable::EndJob() is called.
   void PersistJobEnd(const std::string& job) { job_ends_.push_back(job); }
   bool HasPendingJobEnds() const { return !job_ends_.empty(); }
-  // `changed`: whether they differ from the durable ones by more than prices.
+  // `changed`: whether the types differ from the durable ones in more than prices.
   void PersistMachineTypes(std::map<std::string, MachineType> types, bool changed);
 
-  // Sends what there is to write, unless a write is in flight or the rate limit forbids it.
+  // Sends queued writes, unless a write is in flight or the rate limit doesn't permit it.
   void WriteBatch(Micros now);
   bool IsWriteInFlight() const { return write_in_flight_; }
 
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -16,10 +16,11 @@
 
 constexpr Micros kInterval = Seconds(5);
 
-// The low bits of an attempt count within its term.
+// The low bits of an attempt's number, which count the attempts of its term.
 constexpr uint64_t kAttemptInTermMask = 0xffffff;
 
-// A job's next step may take so many boots, start timeouts of a gang and estimated run times.
+// The longest time that a job's next step may take, in boot times, gang start timeouts and
+// estimated run times.
 constexpr double kBootFactor = 2;
 constexpr double kGangStartFactor = 2;
 constexpr double kRunFactor = 4;
@@ -28,17 +29,18 @@
 
 }  // namespace
 
-// Every condition of the job's next step, in the order in which it would meet them.
+// Checks the conditions for the job's next step in the order in which the leader checks them.
 std::string StuckJobDetector::WaitReason(Micros now, const Job& job) const {
-  if (job.finishing) return "all tasks done, its end is not recorded yet";
-  if (job.cancel_pending) return "its cancellation is being recorded";
+  if (job.finishing) return "all tasks done, job end not recorded yet";
+  if (job.cancel_pending) return "cancellation being recorded";
   if (reconciler().MayStillRun(job))
-    return Text(static_cast<int64_t>(reconciler().unreconciled().size())) + " machines unresolved";
+    return Text(static_cast<int64_t>(reconciler().unreconciled().size())) +
+           " machines unreconciled";
   if (!election()->MayStart(now)) return "leader lease not held";
-  if (!authority().MayStart(now)) return "recent cancellations not known";
+  if (!authority().MayStart(now)) return "recent cancellations unknown";
   if (!quota_checker().Allows(job, job.IsGang() ? job.remaining() - job.placed : 1))
     return "team limit reached";
-  if (job.IsGang() && job.gang_stopping) return "its last attempt is still being stopped";
+  if (job.IsGang() && job.gang_stopping) return "last attempt still being stopped";
   if (now < job.backoff_until) return "backoff after failures";
   if (!job.IsGang() && !job.delayed.empty() && job.waiting.empty() && job.queued == 0 &&
       job.placed == 0) {
@@ -64,7 +66,7 @@
   if (ready == 0) return "none of " + Text(eligible) + " eligible machines is ready";
   if (with_room == 0) return "insufficient free resources on " + Text(ready) + " ready machines";
   if (unrecorded == ready) return "machine records not durable yet";
-  if (job.placed > 0) return "its placed tasks do not end";
+  if (job.placed > 0) return "waiting for placed tasks to end";
   return "free resources on " + Text(with_room) + " of " + Text(ready) +
          " ready machines, no known cause";
 }
@@ -102,8 +104,8 @@
     job->stuck_logged_at = now + StuckTimeout(*job);
     outbox()->Info("stuck: " + Explain(now, id));
     RepairCounts(now, job);
-    // A gang that is still gathering is stopped as after the loss of a member, and starts anew once
-    // all of it is proved gone. One that runs may just take long.
+    // A gang whose members have not all started is stopped as after the loss of a member, and
+    // starts again once all members are known to have ended. A running gang may simply take long.
     if (job->IsGang() && job->placed > 0 && !job->gang_attempt_ran && !job->gang_stopping) {
       outbox()->Info("stuck: gang " + id + " stopped, restarts once all members are gone");
       gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
@@ -129,9 +131,10 @@
   return counts;
 }
 
-// Sets the job's counts to those of the machines' allocations, which are the truth; a difference is
-// a bug. A task that is said to be on a machine without such an allocation is not simply started
-// elsewhere: the machine is returned first, and the cloud's word proves that nothing runs there.
+// Sets the job's counts to those of the machines' allocations, which are authoritative; a
+// difference is a bug. If a task's state names a machine that has no such allocation, the task is
+// not simply started elsewhere. The machine is released first, and the cloud's confirmation proves
+// that the task no longer runs there.
 void StuckJobDetector::RepairCounts(Micros now, Job* job) {
   const JobCounts counts = CountAllocations(*job);
   std::map<std::string, Machine*> doubtful;  // by id
--- a/src/core/leader/stuck_job_detector.h
+++ b/src/core/leader/stuck_job_detector.h
@@ -1,4 +1,4 @@
-// Finds jobs that have made no progress for far longer than their next step can take.
+// Detects jobs that have made no progress for far longer than their next step can take.
 #pragma once
 
 #include <map>
@@ -12,24 +12,24 @@
 
 namespace badgershore {
 
-// Logs why a stuck job waits (lines that begin with "stuck:"), corrects its counts and restarts a
-// gang that never comes together.
+// Logs why a stuck job waits (lines that begin with "stuck:"), corrects its counts, and restarts a
+// gang whose members never all start.
 class StuckJobDetector : public LeaderComponent {
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Looks at all jobs every few seconds, and reports a stuck one once per timeout.
+  // Checks all jobs every few seconds, and logs a stuck one once per timeout.
   void Tick(Micros now);
-  // One line for operators: the job's state as the leader sees it, and why it waits. Also for a job
-  // that is not known.
+  // One line for operators: the job's state as known to the leader, and why it waits. Also valid
+  // for an unknown job.
   std::string Explain(Micros now, const std::string& job) const;
 
  private:
-  // What a full count of the machines' allocations says of a job.
+  // A job's counts according to a full count of the machines' allocations.
   struct JobCounts {
     int placed = 0, running = 0;
     std::map<std::string, int> by_zone;
-    std::vector<char> on_machine;  // by task: there where its state says so
+    std::vector<char> on_machine;  // by task: its machine has the allocation of its state
     std::set<const Machine*> machines;
   };
   std::string WaitReason(Micros now, const Job& job) const;
--- a/src/core/leader/usage_accounting.cpp
+++ b/src/core/leader/usage_accounting.cpp
@@ -7,11 +7,12 @@
 namespace badgershore {
 namespace {
 
-// What may run on the machine beyond its known allocations, of which the agent has confirmed
-// `confirmed_use`. Empty for an unknown type.
+// Resources that may be in use on the machine beyond its known allocations, of which the agent has
+// confirmed `confirmed_use`. Zero for an unknown type.
 Resources UncertainUse(const Machine& machine, const Resources& confirmed_use, int unknown_tasks) {
   if (!machine.type) return {};
-  // Starts of an earlier leader may still arrive and take the room of what ends meanwhile.
+  // Starts of an earlier leader may still arrive and take the resources of tasks that end
+  // meanwhile.
   if (!machine.reconciled) return machine.type->size;
   return unknown_tasks > 0 ? machine.type->size - confirmed_use : Resources{};
 }
@@ -96,7 +97,7 @@
   RefreshUncertainUse(machine);
 }
 
-// A negative number takes tasks away.
+// `tasks` may be negative.
 void UsageAccounting::AddUnknownTasks(Machine* machine, int tasks) {
   machines_with_unknown_tasks_ -= machine->unknown_tasks > 0;
   machine->unknown_tasks += tasks;
@@ -187,7 +188,7 @@
   return difference.empty() ? VerifyJobs(&recount) : difference;
 }
 
-// Adds the machine to the recount. False: the machine's own counts differ.
+// Adds the machine to the recount. Returns false if the machine's own counts differ.
 bool UsageAccounting::RecountMachine(const Machine& machine, Recount* recount) {
   Resources used;
   Resources confirmed_use;
--- a/src/core/leader/write_budget.cpp
+++ b/src/core/leader/write_budget.cpp
@@ -9,7 +9,8 @@
 constexpr double kRefillShare = 0.5;
 constexpr double kBurstShare = 0.8;
 constexpr double kScarceSeconds = 0.5;
-// Tokens that deferrable writes leave to those that a task's start or a response waits for.
+// Tokens that deferrable writes leave for urgent ones, which a task's start or a response waits
+// for.
 constexpr double kUrgentReserve = 4;
 
 }  // namespace
--- a/src/core/leader/write_budget.h
+++ b/src/core/leader/write_budget.h
@@ -1,4 +1,4 @@
-// Keeps a leader's writes within the state service's rate limit.
+// Keeps a leader's writes within the state service's write rate limit.
 #pragma once
 
 #include <cstddef>
@@ -7,19 +7,19 @@
 
 namespace badgershore {
 
-// A token bucket: one token for each mutation. It fills at a share of the limit, since the other
-// controllers write too.
+// A token bucket with one token per mutation. It is refilled at a share of the rate limit, since
+// the other controllers write too.
 class WriteBudget {
  public:
-  // `settings` must outlive this. Starts with one second's tokens.
+  // `settings` must outlive this. Starts with the tokens of one second.
   WriteBudget(const PlatformSettings& settings, Micros now);
 
-  // Adds the tokens of the time since the last call.
+  // Adds the tokens for the time since the last call.
   void Refill(Micros now);
   bool Admits(size_t mutations) const;
-  // Whether enough is left after these for urgent writes.
+  // Whether enough tokens for urgent writes are left after these mutations.
   bool AdmitsDeferrable(size_t mutations) const;
-  // Fewer tokens are left than half a second brings.
+  // Fewer tokens are left than are refilled in half a second.
   bool IsScarce() const;
   void Spend(size_t mutations) { tokens_ -= static_cast<double>(mutations); }
   // For mutations that the state service did not count.
