--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -50,7 +50,7 @@
   }
 }
 
-void EndDelays(Micros now, Job* job) {
+void RequeueDelayedTasks(Micros now, Job* job) {
   while (!job->delayed.empty() && job->delayed.begin()->first <= now) {
     job->waiting.push_back(job->delayed.begin()->second);
     job->delayed.erase(job->delayed.begin());
@@ -59,8 +59,8 @@
 
 }  // namespace
 
-Resources Dispatch::RoomFor(const Machine& m, const Job& job, const Resources& used,
-                            Micros now) const {
+Resources Dispatch::AvailableResourcesFor(const Machine& m, const Job& job, const Resources& used,
+                                          Micros now) const {
   Resources room = m.type->size - used;
   if (m.held_for && m.held_for != &job && now < m.held_until) {
     room = room - m.held_for->spec.need.Times(m.held_tasks);
@@ -75,23 +75,23 @@
 }
 
 void Dispatch::StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
-                         std::vector<Command>* orders) {
+                         std::vector<Command>* commands) {
   --job->queued;
   if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;
   const uint64_t attempt = usage_accounting().NextAttempt();
   usage_accounting().PlaceTask(now, m, job, task, attempt);
   *used = *used + job->spec.need;
-  orders->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
+  commands->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
 }
 
-void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders) {
+void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* commands) {
   Resources used = m->Used();
-  while (orders->size() < kMaxCommands) {
+  while (commands->size() < kMaxCommands) {
     // Under load most machines are full. This check avoids searching their queues.
     if (!job_table().smallest_need().Fits(m->type->size - used)) break;
-    if (StartPreferred(now, m, &used, orders)) continue;
-    if (StartQueued(now, m, &used, orders)) continue;
-    if (StartRebound(now, m, &used, orders)) continue;
+    if (StartPreferred(now, m, &used, commands)) continue;
+    if (StartQueued(now, m, &used, commands)) continue;
+    if (StartRebound(now, m, &used, commands)) continue;
     break;
   }
 }
@@ -118,8 +118,8 @@
 // Keyed by team.
 std::map<int, Job*> Dispatch::OldestUnstartedJobs(Micros now) const {
   std::map<int, Job*> oldest;
-  for (auto& [id, ptr] : job_table().jobs()) {
-    Job* job = ptr.get();
+  for (auto& [id, owned_job] : job_table().jobs()) {
+    Job* job = owned_job.get();
     if (job->IsGang() || job->queued == 0 || !job->IsUnstarted(now, options().age_limit)) continue;
     if (!quota_checker().Allows(*job, 1) || reconciler().MayStillRun(*job)) continue;
     Job*& first = oldest[job->team];
@@ -173,8 +173,8 @@
     // The queue is sorted by estimate, so among equals the first that fits is kept.
     if (best && !StartsBefore(now, job, *best->job)) continue;
     if (!quota_checker().Allows(job, 1)) continue;
-    if (!job.spec.need.Fits(RoomFor(*m, job, used, now)) || reconciler().MayStillRun(job) ||
-        !usage_accounting().ZoneAllows(job, m->zone)) {
+    if (!job.spec.need.Fits(AvailableResourcesFor(*m, job, used, now)) ||
+        reconciler().MayStillRun(job) || !usage_accounting().ZoneAllows(job, m->zone)) {
       continue;
     }
     best = &entry;
@@ -182,12 +182,13 @@
   return best;
 }
 
-bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used,
+                           std::vector<Command>* commands) {
   QueueEntry* entry = NextQueued(now, m, *used);
   if (!entry) return false;
   const int task = entry->tasks.front().task;
   entry->tasks.pop_front();
-  StartTask(now, m, entry->job, task, used, orders);
+  StartTask(now, m, entry->job, task, used, commands);
   return true;
 }
 
@@ -209,23 +210,23 @@
 bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& m,
                           const Resources& used) const {
   return Allows(job.spec, *m.type, m.zone, m.spot) && !AvoidsMachine(now, job, m) &&
-         job.spec.need.Fits(RoomFor(m, job, used, now)) && !reconciler().MayStillRun(job) &&
-         usage_accounting().ZoneAllows(job, m.zone);
+         job.spec.need.Fits(AvailableResourcesFor(m, job, used, now)) &&
+         !reconciler().MayStillRun(job) && usage_accounting().ZoneAllows(job, m.zone);
 }
 
 void Dispatch::RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
-                              std::vector<Command>* orders) {
+                              std::vector<Command>* commands) {
   const int task = job->bound.front().task;
   job->bound.pop_front();
   m->dispatched_work[static_cast<size_t>(job->bucket)] +=
       NormalizedWork(job->spec, m->type->size - m->GangUse());
-  StartTask(now, m, job, task, used, orders);
+  StartTask(now, m, job, task, used, commands);
 }
 
 // Tasks within a guarantee, or of a team below its share, start before the machine's own queue, on
 // any machine where they fit.
 bool Dispatch::StartPreferred(Micros now, Machine* m, Resources* used,
-                              std::vector<Command>* orders) {
+                              std::vector<Command>* commands) {
   const auto order = [](const Job* j) {
     return std::make_tuple(j->spec.priority, j->submitted_at);
   };
@@ -240,18 +241,19 @@
     best = job;
   }
   if (!best) return false;
-  RebindAndStart(now, m, best, used, orders);
+  RebindAndStart(now, m, best, used, commands);
   return true;
 }
 
 // Moves a task that has waited long in another machine's queue to this machine, where it fits.
-bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used,
+                            std::vector<Command>* commands) {
   const auto order = [&](const Job* j) {
     return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
   };
   Job* best = nullptr;
-  for (auto& [id, ptr] : job_table().jobs()) {
-    Job* job = ptr.get();
+  for (auto& [id, owned_job] : job_table().jobs()) {
+    Job* job = owned_job.get();
     if (!HasRebindableTask(now, job) || !quota_checker().Allows(*job, 1)) continue;
     const int precedence = best ? fair_share().ComparePrecedence(*job, *best) : 1;
     if (precedence < 0 || (precedence == 0 && order(best) <= order(job))) continue;
@@ -259,7 +261,7 @@
     best = job;
   }
   if (!best) return false;
-  RebindAndStart(now, m, best, used, orders);
+  RebindAndStart(now, m, best, used, commands);
   return true;
 }
 
@@ -313,7 +315,7 @@
   for (const auto& [m, gang_use] : ready) {
     if (!Allows(job.spec, *m->type, m->zone, m->spot)) continue;
     if (!usage_accounting().ZoneAllows(job, m->zone) || AvoidsMachine(now, job, *m)) continue;
-    const Resources open = RoomFor(*m, job, gang_use, now);
+    const Resources open = AvailableResourcesFor(*m, job, gang_use, now);
     if (!job.spec.need.Fits(open)) continue;
     eligible.push_back({m, open});
   }
@@ -341,7 +343,7 @@
     if (it == jobs.end()) it = jobs.begin();
     last_bound_job_ = it->first;
     Job* job = it->second.get();
-    EndDelays(now, job);
+    RequeueDelayedTasks(now, job);
     if (!NeedsBinding(now, *job)) continue;
     if (!ready) {
       bind_budget_ -= static_cast<double>(machine_table().machines().size());
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -26,15 +26,16 @@
   // Holds a machine for one unstarted job of each team. Its free resources are kept until the job's
   // first task has started there.
   void HoldMachinesForUnstartedJobs(Micros now);
-  // Starts the tasks that fit on the machine and appends their start commands to `orders`.
-  void StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders);
+  // Starts the tasks that fit on the machine and appends their start commands to `commands`.
+  void StartTasksOn(Micros now, Machine* m, std::vector<Command>* commands);
   // Returns all tasks in the machine's queue to their jobs' waiting tasks.
   void Unbind(Machine* m);
   // Returns the job's queued tasks, on all machines, to its waiting tasks.
   void Unbind(Job* job);
   // The machine's resources that the job may use while `used` is in use. Excludes what is held or
   // reserved there for jobs that go before it.
-  Resources RoomFor(const Machine& m, const Job& job, const Resources& used, Micros now) const;
+  Resources AvailableResourcesFor(const Machine& m, const Job& job, const Resources& used,
+                                  Micros now) const;
 
  private:
   struct ReadyMachine {
@@ -58,18 +59,18 @@
 
   // Starting. StartPreferred(), StartQueued() and StartRebound() start one task each, or return
   // false.
-  bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
+  bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* commands);
+  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* commands);
+  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* commands);
   QueueEntry* NextQueued(Micros now, Machine* m, const Resources& used);
   int StartPriority(Micros now, const Job& job) const;
   bool StartsBefore(Micros now, const Job& a, const Job& b) const;
   bool HasRebindableTask(Micros now, Job* job) const;
   bool CanStartOn(Micros now, const Job& job, const Machine& m, const Resources& used) const;
   void RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
-                      std::vector<Command>* orders);
+                      std::vector<Command>* commands);
   void StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
-                 std::vector<Command>* orders);
+                 std::vector<Command>* commands);
 
   Micros next_hold_at_;
   double bind_budget_ = 0;  // machines that binding may still examine
--- a/src/core/leader/failure_detector.cpp
+++ b/src/core/leader/failure_detector.cpp
@@ -86,11 +86,11 @@
   if (machine->stage == MachineStage::kBooting) return CheckBoot(now, machine);
   if (machine->stage != MachineStage::kUp) return;
   ProbeIfDue(now, machine, probes);
-  if (const char* failure = FailureOf(now, *machine, liveness)) {
+  if (const char* failure = FailureReason(now, *machine, liveness)) {
     machine_table().ReleaseMachine(now, machine, failure);
     return;
   }
-  if (machine->preemption_at) SaveBeforePreemption(now, machine);
+  if (machine->preemption_at) CheckpointBeforePreemption(now, machine);
 }
 
 void FailureDetector::ExpireAgentLease(Micros now, Machine* machine) {
@@ -111,15 +111,15 @@
 }
 
 void FailureDetector::ProbeIfDue(Micros now, Machine* machine, int* probes) {
-  const bool is_silent = now - machine->last_contact_at > options().silent_probe;
-  if (machine->reconciled && !is_silent) return;
+  const bool is_unresponsive = now - machine->last_contact_at > options().silent_probe;
+  if (machine->reconciled && !is_unresponsive) return;
   if (*probes >= AgentClient::kMaxProbesPerTick || !AgentClient::CanProbe(now, *machine)) return;
   ++*probes;
   agent_client().Probe(now, machine);
 }
 
-const char* FailureDetector::FailureOf(Micros now, const Machine& machine,
-                                       const Liveness& liveness) const {
+const char* FailureDetector::FailureReason(Micros now, const Machine& machine,
+                                           const Liveness& liveness) const {
   if (now < grace_until_) return nullptr;
   if (IsUnreachableAfterFailover(now, machine, liveness))
     return "not reconciled: no answer in this term";
@@ -127,10 +127,10 @@
   // has expired too: releasing them earlier would lose all running tasks.
   const Micros contact_timeout =
       options().silent_return +
-      (liveness.IsMostlySilent() ? settings().agent_lease : settings().heartbeat_interval);
+      (liveness.IsMostlyUnresponsive() ? settings().agent_lease : settings().heartbeat_interval);
   if (now - machine.last_contact_at > contact_timeout) {
-    return IsKnownToReceive(now, machine) ? "agent unreachable"
-                                          : "agent unreachable since the term began";
+    return ReceivesAnswers(now, machine) ? "agent unreachable"
+                                         : "agent unreachable since the term began";
   }
   // After two agent leases without heartbeats no task runs on the machine and none can be started.
   const Micros heartbeat_timeout = options().silent_return + settings().agent_lease.Scaled(2);
@@ -144,11 +144,11 @@
 // have answered it is released early, since its removal by the cloud also reconciles it.
 bool FailureDetector::IsUnreachableAfterFailover(Micros now, const Machine& machine,
                                                  const Liveness& liveness) const {
-  if (machine.reconciled || IsKnownToReceive(now, machine)) return false;
+  if (machine.reconciled || ReceivesAnswers(now, machine)) return false;
   const size_t unreconciled = reconciler().unreconciled().size();
   const auto up = static_cast<size_t>(liveness.up);
   const bool is_one_of_few = unreconciled * kFewUnreconciled <= up;
-  if (is_one_of_few && now - began() > options().resolve_wait) return true;
+  if (is_one_of_few && now - term_began_at() > options().resolve_wait) return true;
   const bool is_one_of_very_few = unreconciled * kVeryFewUnreconciled <= up;
   return is_one_of_very_few && machine.first_probed_at.count >= 0 &&
          now - machine.first_probed_at > options().resolve_soon;
@@ -157,7 +157,7 @@
 // Whether the agent receives answers: it has sent a heartbeat of this term, or was answered so
 // recently that its next heartbeat is still due. An agent that was answered long ago and has not
 // sent a heartbeat of this term does not receive answers.
-bool FailureDetector::IsKnownToReceive(Micros now, const Machine& machine) const {
+bool FailureDetector::ReceivesAnswers(Micros now, const Machine& machine) const {
   if (machine.sequence > 0) return true;
   if (machine.first_answered_at.count < 0) return false;
   return now - machine.first_answered_at <
@@ -166,24 +166,24 @@
 
 // Stops tasks with checkpoints just early enough to write one before the preemption, so that they
 // lose no work.
-void FailureDetector::SaveBeforePreemption(Micros now, Machine* machine) {
-  std::map<std::string, Job*> gangs_to_save;  // by id; members write checkpoints together
+void FailureDetector::CheckpointBeforePreemption(Micros now, Machine* machine) {
+  std::map<std::string, Job*> gangs_to_checkpoint;  // by id; members write checkpoints together
   bool has_stops = false;
   for (auto& [key, allocation] : machine->allocations) {
     Job* job = allocation.job;
     if (allocation.stop_requested || allocation.exited() || !job) continue;
     if (job->spec.checkpoint_interval.count == 0) continue;
-    const Micros save_time = job->spec.checkpoint_duration;
-    if (*machine->preemption_at - now > save_time + kCheckpointMargin) continue;
+    const Micros checkpoint_duration = job->spec.checkpoint_duration;
+    if (*machine->preemption_at - now > checkpoint_duration + kCheckpointMargin) continue;
     if (job->IsGang()) {
-      gangs_to_save[job->spec.id] = job;
+      gangs_to_checkpoint[job->spec.id] = job;
     } else {
       allocation.stop_requested = has_stops = true;
-      allocation.grace_period = save_time;
+      allocation.grace_period = checkpoint_duration;
     }
   }
   if (has_stops) agent_client().SendStops(machine);
-  for (const auto& [id, job] : gangs_to_save) {
+  for (const auto& [id, job] : gangs_to_checkpoint) {
     gang_scheduler().StopGang(now, job, job->spec.checkpoint_duration);
   }
 }
--- a/src/core/leader/failure_detector.h
+++ b/src/core/leader/failure_detector.h
@@ -18,7 +18,7 @@
 
   void Tick(Micros now);
   // To be called when an agent has sent a heartbeat.
-  void NoteHeartbeat(Micros now) { last_heartbeat_at_ = now; }
+  void RecordHeartbeat(Micros now) { last_heartbeat_at_ = now; }
   // To be called after a pause of this process. No machine counts as failed for heartbeats that
   // were missed meanwhile until all agents have had time to reconnect.
   void OnProcessStall(Micros now);
@@ -34,7 +34,7 @@
     int contacted = 0;  // by a heartbeat or the response to a direct call
     int heartbeating = 0;
     // If most machines are unresponsive, the fault is probably in this leader's own network.
-    bool IsMostlySilent() const { return contacted * 2 < up; }
+    bool IsMostlyUnresponsive() const { return contacted * 2 < up; }
     bool IsMostlyHeartbeating() const { return heartbeating * 2 >= up; }
   };
 
@@ -45,11 +45,11 @@
   void CheckBoot(Micros now, Machine* machine);
   void ProbeIfDue(Micros now, Machine* machine, int* probes);
   // Null if the machine has not failed.
-  const char* FailureOf(Micros now, const Machine& machine, const Liveness& liveness) const;
+  const char* FailureReason(Micros now, const Machine& machine, const Liveness& liveness) const;
   bool IsUnreachableAfterFailover(Micros now, const Machine& machine,
                                   const Liveness& liveness) const;
-  bool IsKnownToReceive(Micros now, const Machine& machine) const;
-  void SaveBeforePreemption(Micros now, Machine* machine);
+  bool ReceivesAnswers(Micros now, const Machine& machine) const;
+  void CheckpointBeforePreemption(Micros now, Machine* machine);
 
   int up_ = 0;                    // machines that are up, as of the last tick
   Micros last_heartbeat_at_{-1};  // of any machine in this term
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -15,7 +15,7 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kInterval = Millis(500);
+constexpr Micros kUpdateInterval = Millis(500);
 constexpr Micros kPreemptionWindow = Seconds(60);
 // Long enough for the machine's next heartbeat after the preemption.
 constexpr Micros kHoldDuration = Seconds(12);
@@ -24,8 +24,8 @@
 constexpr double kCheckpointedCost = 0.1;
 constexpr double kLostTaskCost = 1;
 
-double Fraction(int64_t used, int64_t all) {
-  return all > 0 ? static_cast<double>(used) / static_cast<double>(all) : 0;
+double Fraction(int64_t used, int64_t total) {
+  return total > 0 ? static_cast<double>(used) / static_cast<double>(total) : 0;
 }
 
 struct Victim {
@@ -50,9 +50,9 @@
 int FairShare::ComparePrecedence(const Job& a, const Job& b) const {
   if (a.IsGuaranteed() != b.IsGuaranteed()) return a.IsGuaranteed() ? 1 : -1;
   if (a.team == b.team || a.team < 0 || b.team < 0 || a.spec.priority != b.spec.priority) return 0;
-  const bool over_a = shares_[static_cast<size_t>(a.team)].over;
-  const bool over_b = shares_[static_cast<size_t>(b.team)].over;
-  return over_a == over_b ? 0 : over_b ? 1 : -1;
+  const bool a_above_share = shares_[static_cast<size_t>(a.team)].above_share;
+  const bool b_above_share = shares_[static_cast<size_t>(b.team)].above_share;
+  return a_above_share == b_above_share ? 0 : b_above_share ? 1 : -1;
 }
 
 bool FairShare::ExceedsGuaranteeWithout(int team, const Resources& resources) const {
@@ -70,13 +70,13 @@
 
 void FairShare::Tick(Micros now) {
   if (shares_.size() < 2 || now < next_tick_at_) return;
-  next_tick_at_ = now + kInterval;
+  next_tick_at_ = now + kUpdateInterval;
   for (Resources& r : stopping_) r = {};
   ReleaseExpiredHolds(now);
   UpdateShares(now);
   const std::vector<Job*> jobs = JobsShortOfGuarantee(now);
   if (jobs.empty() || !election()->MayStart(now)) return;
-  CountStopping();
+  CountStoppingTasks();
   for (Job* job : jobs) ReclaimGuarantee(now, job);
 }
 
@@ -99,27 +99,27 @@
   return jobs;
 }
 
-void FairShare::CountStopping() {
+void FairShare::CountStoppingTasks() {
   for (const auto& [id, m] : machine_table().machines()) {
-    for (const auto& [key, o] : m->allocations) {
-      if (!o.stop_requested || o.exited() || o.team < 0) continue;
-      Resources& r = stopping_[static_cast<size_t>(o.team)];
-      r = r + o.need;
+    for (const auto& [key, allocation] : m->allocations) {
+      if (!allocation.stop_requested || allocation.exited() || allocation.team < 0) continue;
+      Resources& r = stopping_[static_cast<size_t>(allocation.team)];
+      r = r + allocation.need;
     }
   }
 }
 
 void FairShare::UpdateShares(Micros now) {
   Resources capacity;
-  const bool crowded = IsCrowded(now, &capacity);
+  const bool contended = IsContended(now, &capacity);
   const ShareSum sum = SumShares(capacity);
-  const bool any_over = MarkTeamsOver(sum, crowded);
-  ListPreferredJobs(sum, any_over);
+  const bool any_above_share = MarkTeamsAboveShare(sum, contended);
+  ListPreferredJobs(sum, any_above_share);
 }
 
 // Whether the tasks that could start need more than the free resources; shares apply only then.
 // Resets the teams' shares and records which teams have tasks to start.
-bool FairShare::IsCrowded(Micros now, Resources* capacity) {
+bool FairShare::IsContended(Micros now, Resources* capacity) {
   Resources free;
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().IsReady(*m, now)) continue;
@@ -132,7 +132,7 @@
     const int open = job->WantedTasks() - job->placed;
     if (open <= 0 || job->finishing || job->team < 0) continue;
     if (!quota_checker().Allows(*job, 1)) continue;  // blocked by its own team's limit
-    shares_[static_cast<size_t>(job->team)].wants = true;
+    shares_[static_cast<size_t>(job->team)].has_startable_tasks = true;
     wanted = wanted + job->spec.need.Times(open);
   }
   return wanted.cpu > free.cpu || wanted.mem > free.mem || wanted.gpu > free.gpu;
@@ -146,46 +146,48 @@
         std::max({Fraction(used.cpu, capacity.cpu), Fraction(used.gpu, capacity.gpu),
                   Fraction(used.mem, capacity.mem)});
     sum.dominant += shares_[i].dominant;
-    sum.active += shares_[i].wants || shares_[i].dominant > 0;
+    sum.active += shares_[i].has_startable_tasks || shares_[i].dominant > 0;
   }
   return sum;
 }
 
-bool FairShare::MarkTeamsOver(const ShareSum& sum, bool crowded) {
-  bool any_over = false;
+bool FairShare::MarkTeamsAboveShare(const ShareSum& sum, bool contended) {
+  bool any_above_share = false;
   for (Share& s : shares_) {
-    s.over =
-        crowded && sum.active > 1 && s.dominant > options().fair_margin * sum.dominant / sum.active;
-    any_over |= s.over;
+    s.above_share = contended && sum.active > 1 &&
+                    s.dominant > options().fair_margin * sum.dominant / sum.active;
+    any_above_share |= s.above_share;
   }
-  return any_over;
+  return any_above_share;
 }
 
-void FairShare::ListPreferredJobs(const ShareSum& sum, bool any_over) {
+void FairShare::ListPreferredJobs(const ShareSum& sum, bool any_above_share) {
   preferred_jobs_.clear();
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->IsGang() || job->team < 0 || job->WantedTasks() == job->placed || job->finishing)
       continue;
     const Share& s = shares_[static_cast<size_t>(job->team)];
-    const bool under = any_over && s.dominant * sum.active < sum.dominant;
-    if (job->IsGuaranteed() || under) preferred_jobs_.push_back(job.get());
+    const bool below_share = any_above_share && s.dominant * sum.active < sum.dominant;
+    if (job->IsGuaranteed() || below_share) preferred_jobs_.push_back(job.get());
   }
 }
 
 // Finds the tasks to preempt on the machine so that `tasks` tasks of the job fit, or as many as
 // possible. Returns false if not even one fits.
-bool FairShare::PlanOn(Micros now, Machine* m, const Job& job, int tasks,
-                       PreemptionOption* out) const {
-  Resources room = dispatch().RoomFor(*m, job, m->Used(), now);
+bool FairShare::PlanPreemption(Micros now, Machine* m, const Job& job, int tasks,
+                               PreemptionOption* out) const {
+  Resources room = dispatch().AvailableResourcesFor(*m, job, m->Used(), now);
   std::vector<Victim> victims;
-  for (auto& [key, o] : m->allocations) {
-    if (o.exited()) continue;
-    if (o.stop_requested) {
-      room = room + o.need;
-    } else if (o.job && o.team != job.team && !o.job->IsGang() && !o.job->IsService() &&
-               ExceedsGuaranteeWithout(o.team, o.need)) {
-      const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
-      victims.push_back({o.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &o});
+  for (auto& [key, allocation] : m->allocations) {
+    if (allocation.exited()) continue;
+    if (allocation.stop_requested) {
+      room = room + allocation.need;
+    } else if (allocation.job && allocation.team != job.team && !allocation.job->IsGang() &&
+               !allocation.job->IsService() &&
+               ExceedsGuaranteeWithout(allocation.team, allocation.need)) {
+      const TaskState& t = allocation.job->tasks[static_cast<size_t>(allocation.ref.task)];
+      victims.push_back(
+          {allocation.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &allocation});
     }
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
@@ -221,7 +223,7 @@
       continue;
     }
     PreemptionOption option;
-    if (PlanOn(now, m.get(), job, tasks, &option)) found.push_back(std::move(option));
+    if (PlanPreemption(now, m.get(), job, tasks, &option)) found.push_back(std::move(option));
   }
   std::stable_sort(
       found.begin(), found.end(),
@@ -251,7 +253,7 @@
   for (const PreemptionOption& option : FindOptions(now, *job, missing)) {
     if (missing <= 0) break;
     const int tasks = std::min(option.tasks, missing);
-    if (!Execute(now, job, option, tasks)) continue;
+    if (!ExecutePreemption(now, job, option, tasks)) continue;
     stopped += static_cast<int>(option.victims.size());
     held += tasks;
     missing -= tasks;
@@ -264,27 +266,28 @@
 }
 
 // Returns false, without any effect, if the option would preempt too much.
-bool FairShare::Execute(Micros now, Job* job, const PreemptionOption& option, int tasks) {
+bool FairShare::ExecutePreemption(Micros now, Job* job, const PreemptionOption& option, int tasks) {
   int64_t cpu = 0;
   Micros longest_checkpoint;
-  for (const Allocation* o : option.victims) {
-    cpu += o->need.cpu;
+  for (const Allocation* allocation : option.victims) {
+    cpu += allocation->need.cpu;
     // An earlier option may already have preempted all that the team uses above its guarantee.
-    if (!ExceedsGuaranteeWithout(o->team, o->need)) return false;
-    longest_checkpoint = std::max(longest_checkpoint, o->job->spec.checkpoint_duration);
+    if (!ExceedsGuaranteeWithout(allocation->team, allocation->need)) return false;
+    longest_checkpoint = std::max(longest_checkpoint, allocation->job->spec.checkpoint_duration);
   }
-  const int64_t most =
+  const int64_t max_cpu =
       std::max(job->spec.need.cpu,
                static_cast<int64_t>(static_cast<double>(quota_checker().Guarantee(job->team).cpu) *
                                     options().reclaim_share));
   PreemptedCpu& preempted = preempted_[static_cast<size_t>(job->team)];
-  if (cpu > 0 && preempted.cpu + cpu > most) return false;
-  for (Allocation* o : option.victims) {
-    o->stop_requested = true;
-    o->grace_period =
-        o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
-    Resources& r = stopping_[static_cast<size_t>(o->team)];
-    r = r + o->need;
+  if (cpu > 0 && preempted.cpu + cpu > max_cpu) return false;
+  for (Allocation* allocation : option.victims) {
+    allocation->stop_requested = true;
+    allocation->grace_period = allocation->job->spec.checkpoint_interval.count > 0
+                                   ? allocation->job->spec.checkpoint_duration
+                                   : Micros{};
+    Resources& r = stopping_[static_cast<size_t>(allocation->team)];
+    r = r + allocation->need;
   }
   preempted.cpu += cpu;
   option.machine->held_for = job;
--- a/src/core/leader/fair_share.h
+++ b/src/core/leader/fair_share.h
@@ -31,9 +31,9 @@
 
  private:
   struct Share {
-    double dominant = 0;  // 0 to 1
-    bool wants = false;   // has tasks that could start within its limit
-    bool over = false;    // uses more than its share
+    double dominant = 0;               // 0 to 1
+    bool has_startable_tasks = false;  // has tasks that could start within its limit
+    bool above_share = false;          // uses more than its share
   };
   struct ShareSum {
     double dominant = 0;
@@ -54,17 +54,18 @@
 
   void ReleaseExpiredHolds(Micros now);
   void UpdateShares(Micros now);
-  bool IsCrowded(Micros now, Resources* capacity);
+  bool IsContended(Micros now, Resources* capacity);
   ShareSum SumShares(const Resources& capacity);
-  bool MarkTeamsOver(const ShareSum& sum, bool crowded);
-  void ListPreferredJobs(const ShareSum& sum, bool any_over);
+  bool MarkTeamsAboveShare(const ShareSum& sum, bool contended);
+  void ListPreferredJobs(const ShareSum& sum, bool any_above_share);
   std::vector<Job*> JobsShortOfGuarantee(Micros now) const;
-  void CountStopping();
+  void CountStoppingTasks();
   void ReclaimGuarantee(Micros now, Job* job);
   int MissingTasks(const Job& job) const;
-  bool Execute(Micros now, Job* job, const PreemptionOption& option, int tasks);
+  bool ExecutePreemption(Micros now, Job* job, const PreemptionOption& option, int tasks);
   std::vector<PreemptionOption> FindOptions(Micros now, const Job& job, int tasks) const;
-  bool PlanOn(Micros now, Machine* m, const Job& job, int tasks, PreemptionOption* out) const;
+  bool PlanPreemption(Micros now, Machine* m, const Job& job, int tasks,
+                      PreemptionOption* out) const;
 
   std::vector<Share> shares_;  // by team
   std::vector<Job*> preferred_jobs_;
--- a/src/core/leader/gang_placement.cpp
+++ b/src/core/leader/gang_placement.cpp
@@ -31,10 +31,10 @@
   const std::vector<int> members = WaitingMembers(*gang);
   if (members.empty() || !quota_checker().Allows(*gang, static_cast<int>(members.size())))
     return false;
-  if (gang->gang_attempt != 0 && AwaitsOldAttempt(now, *gang, members)) return false;
+  if (gang->gang_attempt != 0 && IsOldAttemptListed(now, *gang, members)) return false;
   for (const std::string& zone : CandidateZones(gang->spec, settings())) {
     const std::vector<Machine*> chosen =
-        ChooseMachines(*gang, members.size(), FindRooms(now, *gang, zone));
+        ChooseMachines(*gang, members.size(), MachinesWithRoom(now, *gang, zone));
     if (chosen.size() != members.size()) continue;
     if (gang->gang_attempt == 0) gang->gang_attempt = usage_accounting().NextAttempt();
     for (size_t k = 0; k < members.size(); ++k) {
@@ -57,8 +57,8 @@
 // agent has forgotten that attempt: a start would have no effect there, and the new member would be
 // counted under the exited allocation. Placement waits for that, because any other machine would
 // have to fetch the image first.
-bool GangPlacement::AwaitsOldAttempt(Micros now, const Job& gang,
-                                     const std::vector<int>& members) const {
+bool GangPlacement::IsOldAttemptListed(Micros now, const Job& gang,
+                                       const std::vector<int>& members) const {
   for (const auto& [id, m] : machine_table().machines()) {
     if (!machine_table().IsReady(*m, now)) continue;
     for (int task : members) {
@@ -69,8 +69,8 @@
 }
 
 // The resources that the zone's machines have free for the gang. An empty `zone` means all zones.
-std::vector<GangPlacement::MachineRoom> GangPlacement::FindRooms(Micros now, const Job& gang,
-                                                                 const std::string& zone) const {
+std::vector<GangPlacement::MachineRoom> GangPlacement::MachinesWithRoom(
+    Micros now, const Job& gang, const std::string& zone) const {
   std::vector<MachineRoom> rooms;
   for (auto& [id, m] : machine_table().machines()) {
     if (!machine_table().IsReady(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot))
@@ -78,7 +78,7 @@
     if (!zone.empty() && m->zone != zone) continue;
     if (!usage_accounting().ZoneAllows(gang, m->zone)) continue;
     if (m->reserved_for && m->reserved_for != &gang) continue;
-    rooms.push_back({m.get(), dispatch().RoomFor(*m, gang, m->Used(), now)});
+    rooms.push_back({m.get(), dispatch().AvailableResourcesFor(*m, gang, m->Used(), now)});
   }
   return rooms;
 }
--- a/src/core/leader/gang_placement.h
+++ b/src/core/leader/gang_placement.h
@@ -29,8 +29,9 @@
     Machine* machine;
     Resources free;
   };
-  bool AwaitsOldAttempt(Micros now, const Job& gang, const std::vector<int>& members) const;
-  std::vector<MachineRoom> FindRooms(Micros now, const Job& gang, const std::string& zone) const;
+  bool IsOldAttemptListed(Micros now, const Job& gang, const std::vector<int>& members) const;
+  std::vector<MachineRoom> MachinesWithRoom(Micros now, const Job& gang,
+                                            const std::string& zone) const;
   std::vector<Machine*> ChooseMachines(const Job& gang, size_t members,
                                        std::vector<MachineRoom> rooms) const;
 };
--- a/src/core/leader/gang_preemption.cpp
+++ b/src/core/leader/gang_preemption.cpp
@@ -32,50 +32,53 @@
 
 bool LosesLess(const Victim& a, const Victim& b) { return a.lost < b.lost; }
 
-void RequestStop(Allocation* o) {
-  o->stop_requested = true;
-  o->grace_period =
-      o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
+void RequestStop(Allocation* allocation) {
+  allocation->stop_requested = true;
+  allocation->grace_period = allocation->job->spec.checkpoint_interval.count > 0
+                                 ? allocation->job->spec.checkpoint_duration
+                                 : Micros{};
 }
 
 }  // namespace
 
-bool GangPreemption::MayPreempt(const Allocation& o, const Job& gang) const {
-  if (!o.job || o.job->IsGang()) return false;
-  if (o.job->spec.priority > gang.spec.priority) return true;
+bool GangPreemption::MayPreempt(const Allocation& allocation, const Job& gang) const {
+  if (!allocation.job || allocation.job->IsGang()) return false;
+  if (allocation.job->spec.priority > gang.spec.priority) return true;
   // A team's guarantee takes precedence over other teams' use above their guarantees.
-  return gang.IsGuaranteed() && o.team != gang.team && !o.job->IsService() &&
-         fair_share().ExceedsGuaranteeWithout(o.team, o.need);
+  return gang.IsGuaranteed() && allocation.team != gang.team && !allocation.job->IsService() &&
+         fair_share().ExceedsGuaranteeWithout(allocation.team, allocation.need);
 }
 
 // A task with checkpoints loses only the time that a checkpoint and a restart take.
-Micros GangPreemption::LostRunTime(Micros now, const Allocation& o) const {
-  const Micros ran =
-      std::max(Micros{}, now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at);
-  if (o.job->spec.checkpoint_interval.count == 0) return ran;
-  return std::min(ran, o.job->spec.checkpoint_duration + kRestartTime);
+Micros GangPreemption::LostRunTime(Micros now, const Allocation& allocation) const {
+  const Micros ran = std::max(
+      Micros{}, now - allocation.job->tasks[static_cast<size_t>(allocation.ref.task)].bound_at);
+  if (allocation.job->spec.checkpoint_interval.count == 0) return ran;
+  return std::min(ran, allocation.job->spec.checkpoint_duration + kRestartTime);
 }
 
 std::optional<double> GangPreemption::CostToClear(Micros now, const Machine& m, const Job& gang,
                                                   bool after_gangs) const {
   Resources kept = after_gangs ? Resources{} : m.GangUse();
   double cost = 0;
-  for (const auto& [key, o] : m.allocations) {
-    if (o.exited() || (!after_gangs && o.job && o.job->IsGang())) continue;
-    const auto cpu = static_cast<double>(o.need.cpu) / 1000;
-    if (!o.job) {
-      kept = kept + o.need;  // its job has ended, and it is being stopped
+  for (const auto& [key, allocation] : m.allocations) {
+    if (allocation.exited() || (!after_gangs && allocation.job && allocation.job->IsGang()))
+      continue;
+    const auto cpu = static_cast<double>(allocation.need.cpu) / 1000;
+    if (!allocation.job) {
+      kept = kept + allocation.need;  // its job has ended, and it is being stopped
       continue;
     }
-    const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
+    const TaskState& t = allocation.job->tasks[static_cast<size_t>(allocation.ref.task)];
     const double ran = std::max(0.0, (now - t.bound_at).ToSeconds());
-    if (MayPreempt(o, gang)) {
-      cost += LostRunTime(now, o).ToSeconds() * cpu;
-    } else if (o.job->IsService()) {
-      kept = kept + o.need;
+    if (MayPreempt(allocation, gang)) {
+      cost += LostRunTime(now, allocation).ToSeconds() * cpu;
+    } else if (allocation.job->IsService()) {
+      kept = kept + allocation.need;
     } else {
-      cost += kWaitForEndCost + kWaitForEndFactor * cpu *
-                                    std::max(1.0, o.job->spec.estimated_runtime.ToSeconds() - ran);
+      cost += kWaitForEndCost +
+              kWaitForEndFactor * cpu *
+                  std::max(1.0, allocation.job->spec.estimated_runtime.ToSeconds() - ran);
     }
   }
   if (!gang.spec.need.Fits(m.type->size - kept)) return std::nullopt;
@@ -90,12 +93,12 @@
   const Resources need = gang.spec.need.Times(m->reserved_members);
   Resources room = m->type->size - m->Used();
   std::vector<Victim> victims;
-  for (auto& [key, o] : m->allocations) {
-    if (o.exited()) continue;
-    if (o.stop_requested) {
-      room = room + o.need;
-    } else if (MayPreempt(o, gang)) {
-      victims.push_back({LostRunTime(now, o), m, &o});
+  for (auto& [key, allocation] : m->allocations) {
+    if (allocation.exited()) continue;
+    if (allocation.stop_requested) {
+      room = room + allocation.need;
+    } else if (MayPreempt(allocation, gang)) {
+      victims.push_back({LostRunTime(now, allocation), m, &allocation});
     }
   }
   std::sort(victims.begin(), victims.end(), LosesLess);
@@ -103,11 +106,11 @@
   int preempted = 0;
   for (const Victim& victim : victims) {
     if (need.Fits(room)) break;
-    Allocation* o = victim.allocation;
-    RequestStop(o);
+    Allocation* allocation = victim.allocation;
+    RequestStop(allocation);
     ++preempted;
-    room = room + o->need;
-    lost += victim.lost.ToSeconds() * static_cast<double>(o->need.cpu) / 1000;
+    room = room + allocation->need;
+    lost += victim.lost.ToSeconds() * static_cast<double>(allocation->need.cpu) / 1000;
   }
   if (preempted == 0) return;
   outbox()->Debug("preempted " + std::to_string(preempted) + " tasks on machine " + m->id +
@@ -122,12 +125,13 @@
   Resources missing = quota_checker().Shortfall(gang, 0);
   std::vector<Victim> victims;
   for (const auto& [id, m] : machine_table().machines()) {
-    for (auto& [key, o] : m->allocations) {
-      if (o.exited() || o.team != gang.team) continue;
-      if (o.stop_requested) {
-        missing = missing - o.need;
-      } else if (o.job && o.preemptible_priority > static_cast<int>(gang.spec.priority)) {
-        victims.push_back({LostRunTime(now, o), m.get(), &o});
+    for (auto& [key, allocation] : m->allocations) {
+      if (allocation.exited() || allocation.team != gang.team) continue;
+      if (allocation.stop_requested) {
+        missing = missing - allocation.need;
+      } else if (allocation.job &&
+                 allocation.preemptible_priority > static_cast<int>(gang.spec.priority)) {
+        victims.push_back({LostRunTime(now, allocation), m.get(), &allocation});
       }
     }
   }
--- a/src/core/leader/gang_preemption.h
+++ b/src/core/leader/gang_preemption.h
@@ -28,8 +28,8 @@
   void PreemptForQuota(Micros now, const Job& gang);
 
  private:
-  bool MayPreempt(const Allocation& o, const Job& gang) const;
-  Micros LostRunTime(Micros now, const Allocation& o) const;
+  bool MayPreempt(const Allocation& allocation, const Job& gang) const;
+  Micros LostRunTime(Micros now, const Allocation& allocation) const;
 };
 
 }  // namespace badgershore
--- a/src/core/leader/gang_queue.cpp
+++ b/src/core/leader/gang_queue.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-GangOrder GangQueue::Order(Micros now) {
+GangOrder GangQueue::ComputeOrder(Micros now) {
   GangOrder order;
   for (auto& [id, job] : job_table().jobs()) {
     if (job->IsGang() && !job->finishing) order.gangs.push_back(job.get());
--- a/src/core/leader/gang_queue.h
+++ b/src/core/leader/gang_queue.h
@@ -26,7 +26,7 @@
   using LeaderComponent::LeaderComponent;
 
   // The gangs to serve at `now`. May pass a team's priority turn to another gang.
-  GangOrder Order(Micros now);
+  GangOrder ComputeOrder(Micros now);
   // To be called when a gang is placed of which no member was on any machine.
   void RecordStart(Micros now, const Job& gang, bool prioritized);
 
--- a/src/core/leader/gang_scheduler.cpp
+++ b/src/core/leader/gang_scheduler.cpp
@@ -22,7 +22,7 @@
 }  // namespace
 
 void GangScheduler::Tick(Micros now) {
-  const GangOrder order = gang_queue().Order(now);
+  const GangOrder order = gang_queue().ComputeOrder(now);
   std::vector<Job*> waiting;
   quota_reservations().Clear();
   for (Job* gang : order.gangs) {
@@ -32,7 +32,7 @@
     if (was_unplaced && gang->placed > 0) gang_queue().RecordStart(now, *gang, prioritized);
     if (!NeedsMachines(now, *gang)) {
       gang_reservations().ReleaseReservation(gang);
-    } else if (CheckQuota(now, gang, prioritized)) {
+    } else if (CheckGangQuota(now, gang, prioritized)) {
       waiting.push_back(gang);
     }
   }
@@ -68,7 +68,7 @@
 
 // Whether the team's limit lets the gang run, now or after preemption of the team's tasks of lower
 // priority. Reserves the quota that the gang waits for.
-bool GangScheduler::CheckQuota(Micros now, Job* gang, bool prioritized) {
+bool GangScheduler::CheckGangQuota(Micros now, Job* gang, bool prioritized) {
   const bool allowed = quota_checker().Allows(*gang, gang->remaining());
   const bool attainable =
       allowed || quota_checker().AllowsAfterPreemption(*gang, gang->remaining());
@@ -106,12 +106,12 @@
 
 // Returns whether stops have to be sent to the machine.
 bool GangScheduler::StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace) {
-  bool any = false;
+  bool has_stops = false;
   for (auto it = m->allocations.begin(); it != m->allocations.end();) {
-    Allocation& o = it->second;
-    if (o.job == gang && o.start_unsent) {
-      const int task = o.ref.task;
-      const uint64_t attempt = o.attempt;
+    Allocation& allocation = it->second;
+    if (allocation.job == gang && allocation.start_unsent) {
+      const int task = allocation.ref.task;
+      const uint64_t attempt = allocation.attempt;
       it = usage_accounting().Remove(m, it);
       const TaskState& t = gang->tasks[static_cast<size_t>(task)];
       if (t.stage == TaskStage::kPlaced && t.machine == m && t.attempt == attempt) {
@@ -119,14 +119,14 @@
       }
       continue;
     }
-    if (o.job == gang && !o.exited() && !o.stop_requested) {
-      o.stop_requested = true;
-      o.grace_period = grace;
-      any = true;
+    if (allocation.job == gang && !allocation.exited() && !allocation.stop_requested) {
+      allocation.stop_requested = true;
+      allocation.grace_period = grace;
+      has_stops = true;
     }
     ++it;
   }
-  return any;
+  return has_stops;
 }
 
 void GangScheduler::Remove(Job* gang) { gang_reservations().ReleaseReservation(gang); }
--- a/src/core/leader/gang_scheduler.h
+++ b/src/core/leader/gang_scheduler.h
@@ -26,7 +26,7 @@
  private:
   void AdvanceAttempt(Micros now, Job* gang);
   bool NeedsMachines(Micros now, const Job& gang) const;
-  bool CheckQuota(Micros now, Job* gang, bool prioritized);
+  bool CheckGangQuota(Micros now, Job* gang, bool prioritized);
   void PreemptForBlockedGang(Micros now, const std::vector<Job*>& waiting);
   bool StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace);
 
--- a/src/core/leader/heartbeat_processor.cpp
+++ b/src/core/leader/heartbeat_processor.cpp
@@ -66,7 +66,7 @@
   machine->last_contact_at = now;
   if (source == HeartbeatSource::kAgent) {
     machine->last_heartbeat_at = now;
-    failure_detector().NoteHeartbeat(now);
+    failure_detector().RecordHeartbeat(now);
   }
   if (machine->endpoint.empty()) machine->endpoint = heartbeat.endpoint;
   if (machine->type_name.empty()) {
@@ -118,7 +118,7 @@
   const bool running =
       status.phase == TaskPhase::kRunning || status.phase == TaskPhase::kCheckpointing;
   if (running && allocation->job && allocation->job->IsGang()) {
-    NoteGangRunning(now, allocation->job);
+    RecordGangRunning(now, allocation->job);
   }
   usage_accounting().MarkConfirmed(machine, allocation);
   usage_accounting().SetPhase(allocation, status.phase);
@@ -151,7 +151,7 @@
   return allocation;
 }
 
-void HeartbeatProcessor::NoteGangRunning(Micros now, Job* gang) {
+void HeartbeatProcessor::RecordGangRunning(Micros now, Job* gang) {
   gang->has_run = true;
   if (std::exchange(gang->gang_attempt_ran, true)) return;
   gang->progressed_at = now;
--- a/src/core/leader/heartbeat_processor.h
+++ b/src/core/leader/heartbeat_processor.h
@@ -33,7 +33,7 @@
   // Null if the job has ended or has no such task.
   Job* FindJob(const TaskRef& ref) const;
   Allocation* AddUnknownTask(Micros now, Machine* machine, const TaskStatus& status, Job* job);
-  void NoteGangRunning(Micros now, Job* gang);
+  void RecordGangRunning(Micros now, Job* gang);
   void OnTaskExited(Micros now, Machine* machine, Allocation* allocation, ExitReason reason);
   Micros OnTaskFailed(Micros now, Machine* machine, Job* job, int task);
   void RemoveUnlisted(Micros now, Machine* machine, const Heartbeat& heartbeat,
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -69,7 +69,7 @@
   job->spec = spec;
   job->team = quota_checker().TeamIndex(spec.team);
   job->version = version;
-  const int64_t time_of_day_ms = began_ms() + (now - began()).ToMillis();
+  const int64_t time_of_day_ms = term_began_ms() + (now - term_began_at()).ToMillis();
   job->submitted_at =
       now - Millis(std::clamp<int64_t>(time_of_day_ms - spec.submitted_ms, 0, kMaxJobAgeMs));
   job->progressed_at = now;
@@ -86,11 +86,11 @@
 
 void JobTable::SetObjectives(Job* job) const {
   const JobSpec& spec = job->spec;
-  for (const Objective& o : settings().objectives) {
-    if (o.job_class != spec.job_class) continue;
-    const Micros deadline = job->submitted_at + o.within;
-    if (o.kind == "wait") job->start_by = deadline;
-    if (o.kind == "finished" && spec.kind == JobKind::kArray) {
+  for (const Objective& objective : settings().objectives) {
+    if (objective.job_class != spec.job_class) continue;
+    const Micros deadline = job->submitted_at + objective.within;
+    if (objective.kind == "wait") job->start_by = deadline;
+    if (objective.kind == "finished" && spec.kind == JobKind::kArray) {
       job->objective_windows.push_back(
           {deadline - spec.estimated_runtime.Scaled(kLongestRunFactor) - kStartMargin,
            deadline - spec.estimated_runtime.Scaled(kShortestRunFactor)});
@@ -166,21 +166,21 @@
 
 // Drops starts that have not been sent. Returns whether stops have to be sent to the machine.
 bool JobTable::StopTasksOn(Machine* m, const std::string& id) {
-  bool any = false;
+  bool has_stops = false;
   for (auto it = m->allocations.begin(); it != m->allocations.end();) {
-    Allocation& o = it->second;
-    if (o.ref.job == id && o.start_unsent) {
+    Allocation& allocation = it->second;
+    if (allocation.ref.job == id && allocation.start_unsent) {
       it = usage_accounting().Remove(m, it);
       continue;
     }
-    if (o.ref.job == id && !o.exited()) {
-      o.stop_requested = true;
-      o.grace_period = {};
-      any = true;
+    if (allocation.ref.job == id && !allocation.exited()) {
+      allocation.stop_requested = true;
+      allocation.grace_period = {};
+      has_stops = true;
     }
     ++it;
   }
-  return any;
+  return has_stops;
 }
 
 JobStatus JobTable::Status(const std::string& id) const {
@@ -220,32 +220,32 @@
   }
 }
 
-void JobTable::RequeueTask(Micros now, Job* job, int task, Micros pause) {
+void JobTable::RequeueTask(Micros now, Job* job, int task, Micros delay) {
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   if (t.stage == TaskStage::kDone) return;
   t.stage = TaskStage::kWaiting;
   t.machine = nullptr;
   if (job->IsGang()) {
-    job->backoff_until = std::max(job->backoff_until, now + pause);
-  } else if (pause.count > 0) {
-    job->delayed.emplace(now + pause, task);
+    job->backoff_until = std::max(job->backoff_until, now + delay);
+  } else if (delay.count > 0) {
+    job->delayed.emplace(now + delay, task);
   } else {
     job->waiting.push_front(task);
   }
 }
 
-void JobTable::MarkGuaranteed(Micros now) {
+void JobTable::MarkGuaranteedTasks(Micros now) {
   for (size_t i = 0; i < settings().teams.size(); ++i) {
     const Team& team = settings().teams[i];
     if (team.guarantee.cpu == 0 && team.guarantee.gpu == 0) continue;
-    MarkGuaranteedOf(now, static_cast<int>(i));
+    MarkTeamGuaranteedTasks(now, static_cast<int>(i));
   }
 }
 
 // Goes through the team's jobs, earliest first, until its guarantee is used up. An array counts
 // with as many tasks as fit into the rest of the guarantee, a gang or service with all tasks or
 // none.
-void JobTable::MarkGuaranteedOf(Micros now, int team) {
+void JobTable::MarkTeamGuaranteedTasks(Micros now, int team) {
   Resources room = quota_checker().Guarantee(team);
   room.mem = INT64_MAX / 2;  // memory is not guaranteed
   std::vector<Job*> jobs;
--- a/src/core/leader/job_table.h
+++ b/src/core/leader/job_table.h
@@ -39,10 +39,10 @@
   void ExpirePendingCancellations(Micros now);
   // Marks the arrays and services that have made no progress for long.
   void MarkStarved(Micros now);
-  // Returns a task that was queued or placed to the waiting tasks, after `pause`.
-  void RequeueTask(Micros now, Job* job, int task, Micros pause);
+  // Returns a task that was queued or placed to the waiting tasks, after `delay`.
+  void RequeueTask(Micros now, Job* job, int task, Micros delay);
   // Counts for each job how many of its tasks are within its team's guarantee.
-  void MarkGuaranteed(Micros now);
+  void MarkGuaranteedTasks(Micros now);
   // Recomputes `smallest_need`; called once a tick.
   void UpdateSmallestNeed();
   // A lower bound on the resources of a task of any array or service. May be too low until the next
@@ -63,7 +63,7 @@
   void StopTasks(const std::string& id);
   bool StopTasksOn(Machine* m, const std::string& id);
   void MarkTaskDone(Micros now, Job* job, int task);
-  void MarkGuaranteedOf(Micros now, int team);
+  void MarkTeamGuaranteedTasks(Micros now, int team);
 
   Jobs jobs_;
   std::map<std::string, Micros> cancel_pending_until_;
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -46,8 +46,8 @@
       heartbeat_handler_(&context_),
       fair_share_(&context_),
       stuck_job_detector_(&context_) {
-  context_.began = last_tick_at_ = now;
-  context_.began_ms = time_of_day_ms;
+  context_.term_began_at = last_tick_at_ = now;
+  context_.term_began_ms = time_of_day_ms;
   ConnectComponents();
   FollowJobRecords();
 }
@@ -90,7 +90,7 @@
         // Progress is loaded after the jobs, since each progress record refers to its job.
         LoadPrefix(keys::kProgress, "");
         LoadPrefix(keys::kFleet, "");
-        if (quota_shares_.alone()) return;
+        if (quota_shares_.is_single_cell()) return;
         ++pending_loads_;
         LoadPrefix(keys::kLimits, "");
       },
@@ -125,7 +125,7 @@
 void Leader::OnPrefixLoaded(Micros now) {
   if (--pending_loads_ > 0) return;
   ready_ = true;
-  quota_shares_.Begin(now);
+  quota_shares_.OnRecordsLoaded(now);
   context_.outbox->Info("term " + std::to_string(context_.election->term()) +
                         " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
                         std::to_string(machine_table_.machines().size()) +
@@ -220,7 +220,7 @@
   quota_shares_.Tick(now);
   job_table_.ExpirePendingCancellations(now);
   job_table_.MarkStarved(now);
-  job_table_.MarkGuaranteed(now);
+  job_table_.MarkGuaranteedTasks(now);
   fair_share_.Tick(now);
   stuck_job_detector_.Tick(now);
   job_table_.UpdateSmallestNeed();
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -88,7 +88,7 @@
     return ready_ && failure_detector_.ReceivesNoHeartbeats(now);
   }
   std::string Explain(Micros now, const std::string& job) const {
-    return stuck_job_detector_.Explain(now, job);
+    return stuck_job_detector_.ExplainJobState(now, job);
   }
   // Describes the first difference between the counts and a full recount; empty if there is none.
   std::string VerifyCounts() const { return usage_accounting_.VerifyCounts(); }
--- a/src/core/leader/leader_component.h
+++ b/src/core/leader/leader_component.h
@@ -49,8 +49,8 @@
   std::map<std::string, MachineType>* types = nullptr;  // complete once `types_known`
   std::function<bool()> types_known;
 
-  Micros began;
-  int64_t began_ms = 0;  // time of day at `began`, in milliseconds
+  Micros term_began_at;
+  int64_t term_began_ms = 0;  // time of day at `term_began_at`, in milliseconds
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   AgentClient* agent_client = nullptr;
@@ -93,8 +93,8 @@
   const LeaderAuthority& authority() const { return *context_->authority; }
   std::map<std::string, MachineType>& types() const { return *context_->types; }
   bool types_known() const { return context_->types_known(); }
-  Micros began() const { return context_->began; }
-  int64_t began_ms() const { return context_->began_ms; }
+  Micros term_began_at() const { return context_->term_began_at; }
+  int64_t term_began_ms() const { return context_->term_began_ms; }
 
   AgentClient& agent_client() const { return *context_->agent_client; }
   Autoscaler& scaler() const { return *context_->scaler; }
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -46,7 +46,8 @@
 
 void Provisioner::Scale(Micros now) {
   next_scale_at_ = now + kScaleInterval;
-  if (!reconciler().unreconciled().empty() && now - began() < kMaxReconciliationWait) return;
+  if (!reconciler().unreconciled().empty() && now - term_began_at() < kMaxReconciliationWait)
+    return;
   Apply(now, scaler().Decide(TakeSnapshot(now)));
   machine_time_.Update(now);
   if (now < next_log_at_) return;
@@ -58,7 +59,7 @@
 ScalingSnapshot Provisioner::TakeSnapshot(Micros now) const {
   ScalingSnapshot snapshot;
   snapshot.now = now;
-  snapshot.term_began_at = began();
+  snapshot.term_began_at = term_began_at();
   snapshot.machine_types = &types();
   snapshot.zones = &settings().zones;
   snapshot.objectives = &settings().objectives;
@@ -111,14 +112,14 @@
 
 // Replicas never end by themselves; they are started again elsewhere.
 void Provisioner::StopServices(Machine* machine) {
-  bool any = false;
+  bool has_stops = false;
   for (auto& [key, allocation] : machine->allocations) {
     const Job* job = allocation.job;
     if (!job || !job->IsService() || allocation.exited() || allocation.stop_requested) continue;
-    allocation.stop_requested = any = true;
+    allocation.stop_requested = has_stops = true;
     allocation.grace_period = job->spec.checkpoint_duration;
   }
-  if (any) agent_client().SendStops(machine);
+  if (has_stops) agent_client().SendStops(machine);
 }
 
 void Provisioner::LogFleet() const {
--- a/src/core/leader/quota_shares.cpp
+++ b/src/core/leader/quota_shares.cpp
@@ -14,7 +14,7 @@
 constexpr Micros kUpdateInterval = Millis(300);
 // If a cell has sent no message for this long, messages go to all of its controllers instead of its
 // last known leader.
-constexpr Micros kLeaderExpires = Seconds(3);
+constexpr Micros kLeaderAddressLifetime = Seconds(3);
 // Transfers that are received or acknowledged within this interval share a write.
 constexpr Micros kWriteInterval = Millis(400);
 constexpr Micros kWriteRetryDelay = Millis(300);
@@ -22,8 +22,8 @@
 // machines rather than quota.
 constexpr Micros kMachineShortageAfter = Seconds(20);
 
-limits::ResourceAmounts TotalsOf(const Team& team) {
-  const auto limit = [](int64_t said) { return said > 0 ? said : limits::kUnlimited; };
+limits::ResourceAmounts TeamTotals(const Team& team) {
+  const auto limit = [](int64_t amount) { return amount > 0 ? amount : limits::kUnlimited; };
   return {limit(team.limit.cpu), limit(team.limit.gpu), team.guarantee.cpu, team.guarantee.gpu};
 }
 
@@ -44,11 +44,11 @@
 }
 
 QuotaShares::QuotaShares(const LeaderContext* context)
-    : LeaderComponent(context), allowed_since_(settings().teams.size(), kNever) {
+    : LeaderComponent(context), startable_since_(settings().teams.size(), kNever) {
   if (options().cells.cells.empty()) return;
   ledger_ = std::make_unique<limits::QuotaLedger>(QuotaSettings(options().cells));
   limits::TeamAmounts totals;
-  for (const Team& team : settings().teams) totals[team.name] = TotalsOf(team);
+  for (const Team& team : settings().teams) totals[team.name] = TeamTotals(team);
   ledger_->SetTotals(totals);
 }
 
@@ -59,22 +59,22 @@
   record_version_ = entry.version;
 }
 
-void QuotaShares::Begin(Micros now) {
-  if (alone()) return;
+void QuotaShares::OnRecordsLoaded(Micros now) {
+  if (is_single_cell()) return;
   ledger_->Load(loaded_record_, static_cast<uint64_t>(TimeOfDay(now)));
   loaded_record_.reset();
   UpdateDemand(now);
-  UpdateOccupancy();
+  ApplyUsableQuota();
 }
 
 void QuotaShares::Tick(Micros now) {
-  if (alone() || !ledger_->loaded()) return;
+  if (is_single_cell() || !ledger_->loaded()) return;
   if (now >= update_at_) {
     update_at_ = now + kUpdateInterval;
     UpdateDemand(now);
     ledger_->Tick(TimeOfDay(now));
   }
-  UpdateOccupancy();
+  ApplyUsableQuota();
   WriteRecord(now);
   if (now >= send_at_) SendStatus(now);
   LogRestriction();
@@ -88,7 +88,7 @@
 }
 
 void QuotaShares::AddJob(const Job& job, TeamWork* work) const {
-  work->all = work->all + job.spec.need.Times(job.remaining());
+  work->remaining = work->remaining + job.spec.need.Times(job.remaining());
   const int open = job.remaining() - job.placed;
   if (open <= 0) return;
   limits::QuotaDemand& demand = work->demand;
@@ -104,10 +104,10 @@
       (!work->first_gang || MoreUrgent(job, *work->first_gang))) {
     work->first_gang = &job;
   }
-  if (quota_checker().Allows(job, at_once)) work->allowed = true;
+  if (quota_checker().Allows(job, at_once)) work->startable = true;
 }
 
-std::vector<QuotaShares::TeamWork> QuotaShares::SumUpJobs() const {
+std::vector<QuotaShares::TeamWork> QuotaShares::SummarizeJobs() const {
   std::vector<TeamWork> teams(settings().teams.size());
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->team < 0 || job->finishing) continue;
@@ -116,23 +116,23 @@
   return teams;
 }
 
-limits::QuotaDemand QuotaShares::DemandOf(Micros now, size_t team, const TeamWork& work) {
+limits::QuotaDemand QuotaShares::ComputeDemand(Micros now, size_t team, const TeamWork& work) {
   limits::QuotaDemand demand = work.demand;
   const Resources used =
       usage_accounting().Used(static_cast<int>(team)) + usage_accounting().uncertain_use();
   const Resources& guarantee = settings().teams[team].guarantee;
   demand.used = {used.cpu, used.gpu, 0, 0};
   // If tasks wait although the limit would let them start, more quota would stay unused.
-  Micros& allowed_since = allowed_since_[team];
-  allowed_since = work.allowed ? std::min(allowed_since, now) : kNever;
-  const bool lacks_machines = work.allowed && now - allowed_since > kMachineShortageAfter;
+  Micros& startable_since = startable_since_[team];
+  startable_since = work.startable ? std::min(startable_since, now) : kNever;
+  const bool lacks_machines = work.startable && now - startable_since > kMachineShortageAfter;
   const auto useful = [&](int64_t waiting, int64_t has, int64_t at_once) {
     return lacks_machines ? std::min(waiting, std::max(has / 10, at_once)) : waiting;
   };
   demand.additional = {useful(work.waiting.cpu, used.cpu, work.largest.cpu),
                        useful(work.waiting.gpu, used.gpu, work.largest.gpu),
-                       std::min(work.all.cpu, guarantee.cpu),
-                       std::min(work.all.gpu, guarantee.gpu)};
+                       std::min(work.remaining.cpu, guarantee.cpu),
+                       std::min(work.remaining.gpu, guarantee.gpu)};
   if (const Job* gang = work.first_gang) {
     const Resources needed = gang->spec.need.Times(gang->remaining());
     demand.all_or_nothing = true;
@@ -145,13 +145,13 @@
 }
 
 void QuotaShares::UpdateDemand(Micros now) {
-  const std::vector<TeamWork> teams = SumUpJobs();
+  const std::vector<TeamWork> teams = SummarizeJobs();
   for (size_t team = 0; team < teams.size(); ++team) {
-    ledger_->SetDemand(settings().teams[team].name, DemandOf(now, team, teams[team]));
+    ledger_->SetDemand(settings().teams[team].name, ComputeDemand(now, team, teams[team]));
   }
 }
 
-void QuotaShares::UpdateOccupancy() {
+void QuotaShares::ApplyUsableQuota() {
   for (size_t team = 0; team < settings().teams.size(); ++team) {
     const std::string& name = settings().teams[team].name;
     const auto usable = [&](limits::ResourceKind kind) { return ledger_->Usable(name, kind); };
@@ -162,16 +162,17 @@
 }
 
 void QuotaShares::OnMessage(Micros now, const limits::CellMessage& message) {
-  if (alone() || !ledger_->OnMessage(message, TimeOfDay(now))) return;
+  if (is_single_cell() || !ledger_->OnMessage(message, TimeOfDay(now))) return;
   leader_addresses_[message.from] = message.leader_address;
-  heard_at_[message.from] = now;
-  UpdateOccupancy();
+  last_message_at_[message.from] = now;
+  ApplyUsableQuota();
   WriteRecord(now);
 }
 
-std::vector<std::string> QuotaShares::AddressesOf(Micros now, const std::string& cell) {
-  auto heard = heard_at_.find(cell);
-  if (heard != heard_at_.end() && now - heard->second < kLeaderExpires) {
+std::vector<std::string> QuotaShares::LeaderAddresses(Micros now, const std::string& cell) {
+  auto last_message = last_message_at_.find(cell);
+  if (last_message != last_message_at_.end() &&
+      now - last_message->second < kLeaderAddressLifetime) {
     return {leader_addresses_[cell]};
   }
   std::vector<std::string> addresses;
@@ -187,7 +188,7 @@
     message.leader_address = settings().peer_listen;
     message.term = election()->term();
     CellDelivery delivery;
-    delivery.addresses = AddressesOf(now, message.to);
+    delivery.addresses = LeaderAddresses(now, message.to);
     delivery.message = std::move(message);
     outbox()->effects.cell_deliveries.push_back(std::move(delivery));
   }
@@ -214,7 +215,7 @@
 void QuotaShares::OnRecordWritten(Micros now, uint64_t version, uint64_t number) {
   record_version_ = version;
   ledger_->OnWritten(number);
-  UpdateOccupancy();
+  ApplyUsableQuota();
   send_at_ = now;  // the other cells wait for the changes that are durable now
 }
 
@@ -257,7 +258,7 @@
 }
 
 std::string QuotaShares::Summary() const {
-  if (alone()) return "";
+  if (is_single_cell()) return "";
   return ledger_->restricted_to_floor_reason().empty()
              ? "; unreachable cells " + std::to_string(ledger_->UnheardCells().size())
              : "; quota restricted to the floor share";
--- a/src/core/leader/quota_shares.h
+++ b/src/core/leader/quota_shares.h
@@ -24,16 +24,17 @@
   explicit QuotaShares(const LeaderContext* context);
 
   // The deployment has no other cells.
-  bool alone() const { return !ledger_; }
-  // Loads an entry under the limits prefix. To be called before Begin().
+  bool is_single_cell() const { return !ledger_; }
+  // Loads an entry under the limits prefix. To be called before OnRecordsLoaded().
   void Load(const Entry& entry);
   // To be called once all records have been loaded.
-  void Begin(Micros now);
+  void OnRecordsLoaded(Micros now);
   void Tick(Micros now);
   void OnMessage(Micros now, const limits::CellMessage& message);
-  // For the log: the unreachable cells, or that the quota is restricted. Empty in a single cell.
+  // For the log: the unreachable cells, or that the quota is restricted. Empty in a single-cell
+  // deployment.
   std::string Summary() const;
-  // Null in a single cell.
+  // Null in a single-cell deployment.
   const limits::QuotaLedger* ledger() const { return ledger_.get(); }
 
  private:
@@ -41,20 +42,22 @@
   struct TeamWork {
     limits::QuotaDemand demand;
     Resources waiting;                // of tasks without a machine
-    Resources all;                    // of tasks that are not done
+    Resources remaining;              // of tasks that are not done
     Resources largest;                // of the largest task or gang that waits to start
     const Job* first_gang = nullptr;  // the most urgent gang that waits for quota
-    bool allowed = false;             // some job waits although the limit would let it start
+    bool startable = false;           // some job waits although the limit would let it start
   };
-  int64_t TimeOfDay(Micros now) const { return began_ms() + (now - began()).ToMillis(); }
+  int64_t TimeOfDay(Micros now) const {
+    return term_began_ms() + (now - term_began_at()).ToMillis();
+  }
   void UpdateDemand(Micros now);
-  std::vector<TeamWork> SumUpJobs() const;
+  std::vector<TeamWork> SummarizeJobs() const;
   void AddJob(const Job& job, TeamWork* work) const;
-  limits::QuotaDemand DemandOf(Micros now, size_t team, const TeamWork& work);
-  void UpdateOccupancy();
+  limits::QuotaDemand ComputeDemand(Micros now, size_t team, const TeamWork& work);
+  void ApplyUsableQuota();
   void LogRestriction();
   void SendStatus(Micros now);
-  std::vector<std::string> AddressesOf(Micros now, const std::string& cell);
+  std::vector<std::string> LeaderAddresses(Micros now, const std::string& cell);
   void WriteRecord(Micros now);
   void OnWriteResponse(Micros now, const StateResponse& response, uint64_t number);
   // Reads the record again after a write whose outcome is unknown.
@@ -70,9 +73,9 @@
   Micros send_at_;
   Micros update_at_;
   std::map<std::string, std::string> leader_addresses_;  // by cell, from its last message
-  std::map<std::string, Micros> heard_at_;               // by cell: of the last message
+  std::map<std::string, Micros> last_message_at_;        // by cell
   // By team index: since when tasks have been waiting although the limit would let them start.
-  std::vector<Micros> allowed_since_;
+  std::vector<Micros> startable_since_;
   std::string logged_reason_;
 };
 
--- a/src/core/leader/reconciler.cpp
+++ b/src/core/leader/reconciler.cpp
@@ -30,8 +30,8 @@
                       unreconciled_.end());
   outbox()->Debug("machine " + machine->id + " reconciled by " + kProofNames[proof_index]);
   if (!unreconciled_.empty()) return;
-  std::string line =
-      "all machines reconciled " + std::to_string((now - began()).ToMillis()) + " ms into the term";
+  std::string line = "all machines reconciled " +
+                     std::to_string((now - term_began_at()).ToMillis()) + " ms into the term";
   for (size_t i = 0; i < kReconciliationProofs; ++i) {
     line += (i == 0 ? ": " : ", ") + std::to_string(reconciled_by_[i]) + " by " + kProofNames[i];
   }
--- a/src/core/leader/record_writer.cpp
+++ b/src/core/leader/record_writer.cpp
@@ -26,7 +26,9 @@
   return static_cast<size_t>(settings.state_value_kb * 1024 * kPageFill);
 }
 
-MachineRecord RecordOf(const Machine& m) { return {m.id, m.endpoint, m.type_name, m.zone, m.spot}; }
+MachineRecord ToMachineRecord(const Machine& m) {
+  return {m.id, m.endpoint, m.type_name, m.zone, m.spot};
+}
 
 // Upper bounds of the size that an item takes in its page's value.
 size_t MachineItemBytes(const MachineRecord& r) {
@@ -125,7 +127,7 @@
 
 void RecordWriter::PersistMachine(Micros now, Machine* machine) {
   if (std::exchange(machine->durable_write_pending, true)) return;
-  machine_pages_.PutItem(machine->id, MachineItemBytes(RecordOf(*machine)), true, now);
+  machine_pages_.PutItem(machine->id, MachineItemBytes(ToMachineRecord(*machine)), true, now);
 }
 
 void RecordWriter::RemoveMachine(Micros now, const std::string& machine) {
@@ -272,7 +274,8 @@
   FleetPage value;
   for (const std::string& id : page.items) {
     const auto it = machine_table().machines().find(id);
-    if (it != machine_table().machines().end()) value.machines.push_back(RecordOf(*it->second));
+    if (it != machine_table().machines().end())
+      value.machines.push_back(ToMachineRecord(*it->second));
   }
   return value;
 }
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -14,7 +14,7 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kInterval = Seconds(5);
+constexpr Micros kCheckInterval = Seconds(5);
 
 // The low bits of an attempt's number, which count the attempts of its term.
 constexpr uint64_t kAttemptInTermMask = 0xffffff;
@@ -25,7 +25,7 @@
 constexpr double kGangStartFactor = 2;
 constexpr double kRunFactor = 4;
 
-std::string Text(int64_t n) { return std::to_string(n); }
+std::string ToText(int64_t n) { return std::to_string(n); }
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   if (job.finishing) return "all tasks done, job end not recorded yet";
   if (job.cancel_pending) return "cancellation being recorded";
   if (reconciler().MayStillRun(job))
-    return Text(static_cast<int64_t>(reconciler().unreconciled().size())) +
+    return ToText(static_cast<int64_t>(reconciler().unreconciled().size())) +
            " machines unreconciled";
   if (!election()->MayStart(now)) return "leader lease not held";
   if (!authority().MayStart(now)) return "recent cancellations unknown";
@@ -60,28 +60,28 @@
     if (!machine_table().IsReady(*m, now)) continue;
     ++ready;
     unrecorded += !m->durable;
-    with_room += job.spec.need.Fits(dispatch().RoomFor(*m, job, m->Used(), now));
+    with_room += job.spec.need.Fits(dispatch().AvailableResourcesFor(*m, job, m->Used(), now));
   }
   if (eligible == 0) return "no eligible machine";
-  if (ready == 0) return "none of " + Text(eligible) + " eligible machines is ready";
-  if (with_room == 0) return "insufficient free resources on " + Text(ready) + " ready machines";
+  if (ready == 0) return "none of " + ToText(eligible) + " eligible machines is ready";
+  if (with_room == 0) return "insufficient free resources on " + ToText(ready) + " ready machines";
   if (unrecorded == ready) return "machine records not durable yet";
   if (job.placed > 0) return "waiting for placed tasks to end";
-  return "free resources on " + Text(with_room) + " of " + Text(ready) +
+  return "free resources on " + ToText(with_room) + " of " + ToText(ready) +
          " ready machines, no known cause";
 }
 
-std::string StuckJobDetector::Explain(Micros now, const std::string& id) const {
+std::string StuckJobDetector::ExplainJobState(Micros now, const std::string& id) const {
   auto it = job_table().jobs().find(id);
   if (it == job_table().jobs().end()) return id + ": unknown to the leader";
   const Job& job = *it->second;
-  std::string out = id + ": " + Text(job.done) + " of " + Text(job.spec.tasks) + " tasks done, " +
-                    Text(job.placed) + " placed, " + Text(job.running) + " running, " +
-                    Text(job.queued) + " queued";
+  std::string out = id + ": " + ToText(job.done) + " of " + ToText(job.spec.tasks) +
+                    " tasks done, " + ToText(job.placed) + " placed, " + ToText(job.running) +
+                    " running, " + ToText(job.queued) + " queued";
   if (job.IsGang()) {
-    out += ", attempt " + Text(static_cast<int64_t>(job.gang_attempt & kAttemptInTermMask));
+    out += ", attempt " + ToText(static_cast<int64_t>(job.gang_attempt & kAttemptInTermMask));
   }
-  return out + "; no progress for " + Text((now - job.progressed_at).ToMillis() / 1000) +
+  return out + "; no progress for " + ToText((now - job.progressed_at).ToMillis() / 1000) +
          " s: " + WaitReason(now, job);
 }
 
@@ -96,13 +96,13 @@
 
 void StuckJobDetector::Tick(Micros now) {
   if (now < next_tick_at_) return;
-  next_tick_at_ = now + kInterval;
-  for (auto& [id, ptr] : job_table().jobs()) {
-    Job* job = ptr.get();
+  next_tick_at_ = now + kCheckInterval;
+  for (auto& [id, owned_job] : job_table().jobs()) {
+    Job* job = owned_job.get();
     if (job->IsService() && job->placed == job->remaining()) continue;
     if (now - job->progressed_at < StuckTimeout(*job) || now < job->stuck_logged_at) continue;
     job->stuck_logged_at = now + StuckTimeout(*job);
-    outbox()->Info("stuck: " + Explain(now, id));
+    outbox()->Info("stuck: " + ExplainJobState(now, id));
     RepairCounts(now, job);
     // A gang whose members have not all started is stopped as after the loss of a member, and
     // starts again once all members are known to have ended. A running gang may simply take long.
@@ -118,14 +118,14 @@
   counts.on_machine.resize(job.tasks.size(), 0);
   for (auto& [id, m] : machine_table().machines()) {
     counts.machines.insert(m.get());
-    for (auto& [key, o] : m->allocations) {
-      if (o.job != &job || o.exited()) continue;
+    for (auto& [key, allocation] : m->allocations) {
+      if (allocation.job != &job || allocation.exited()) continue;
       ++counts.placed;
-      counts.running += o.phase == TaskPhase::kRunning;
+      counts.running += allocation.phase == TaskPhase::kRunning;
       ++counts.by_zone[m->zone];
-      const auto task = static_cast<size_t>(o.ref.task);
+      const auto task = static_cast<size_t>(allocation.ref.task);
       const TaskState& t = job.tasks[task];
-      if (t.machine == m.get() && t.attempt == o.attempt) counts.on_machine[task] = 1;
+      if (t.machine == m.get() && t.attempt == allocation.attempt) counts.on_machine[task] = 1;
     }
   }
   return counts;
@@ -137,27 +137,27 @@
 // that the task no longer runs there.
 void StuckJobDetector::RepairCounts(Micros now, Job* job) {
   const JobCounts counts = CountAllocations(*job);
-  std::map<std::string, Machine*> doubtful;  // by id
+  std::map<std::string, Machine*> inconsistent_machines;  // by id
   int lost = 0;
   for (int i = 0; i < job->spec.tasks; ++i) {
     TaskState& t = job->tasks[static_cast<size_t>(i)];
     if (t.stage != TaskStage::kPlaced || counts.on_machine[static_cast<size_t>(i)]) continue;
     ++lost;
     if (counts.machines.contains(t.machine)) {
-      doubtful[t.machine->id] = t.machine;
+      inconsistent_machines[t.machine->id] = t.machine;
     } else {
       job_table().RequeueTask(now, job, i, {});
     }
   }
   if (lost == 0 && counts.placed == job->placed && counts.running == job->running) return;
   outbox()->Log(LogLine::Level::kError,
-                "task counts of " + job->spec.id + " corrected: placed " + Text(job->placed) +
-                    " to " + Text(counts.placed) + ", running " + Text(job->running) + " to " +
-                    Text(counts.running) + ", " + Text(lost) + " tasks lost");
+                "task counts of " + job->spec.id + " corrected: placed " + ToText(job->placed) +
+                    " to " + ToText(counts.placed) + ", running " + ToText(job->running) + " to " +
+                    ToText(counts.running) + ", " + ToText(lost) + " tasks lost");
   job->placed = counts.placed;
   job->running = counts.running;
   job->zone_count = counts.by_zone;
-  for (auto& [machine_id, m] : doubtful)
+  for (auto& [machine_id, m] : inconsistent_machines)
     machine_table().ReleaseMachine(now, m, "its allocations differ from the leader's task states");
 }
 
--- a/src/core/leader/stuck_job_detector.h
+++ b/src/core/leader/stuck_job_detector.h
@@ -22,7 +22,7 @@
   void Tick(Micros now);
   // One line for operators: the job's state as known to the leader, and why it waits. Also valid
   // for an unknown job.
-  std::string Explain(Micros now, const std::string& job) const;
+  std::string ExplainJobState(Micros now, const std::string& job) const;
 
  private:
   // A job's counts according to a full count of the machines' allocations.
