--- a/src/core/leader/heartbeat_processor.cpp
+++ b/src/core/leader/heartbeat_processor.cpp
@@ -155,8 +155,8 @@
   gang->has_run = true;
   if (std::exchange(gang->gang_attempt_ran, true)) return;
   gang->progressed_at = now;
-  outbox()->Debug("gang " + gang->spec.id + " runs after " +
-                  std::to_string((now - gang->submitted_at).ToMillis()) + " ms");
+  outbox()->Debug("gang " + gang->spec.id + " running " +
+                  std::to_string((now - gang->submitted_at).ToMillis()) + " ms after submission");
 }
 
 void HeartbeatProcessor::OnTaskExited(Micros now, Machine* machine, Allocation* allocation,
--- a/src/core/leader/machine_time_accounting.h
+++ b/src/core/leader/machine_time_accounting.h
@@ -33,7 +33,7 @@
                          Usage* usage);
 
   std::map<InstanceOffer, Usage> usage_;  // the offers' zones are empty
-  Micros updated_at_;                     // 0: not yet
+  Micros updated_at_;                     // 0 before the first update
 };
 
 }  // namespace badgershore
--- a/src/core/leader/provisioner.h
+++ b/src/core/leader/provisioner.h
@@ -14,7 +14,7 @@
 namespace badgershore {
 
 // Owns the requests to the cloud. A scale-out is retried under its name while its outcome is
-// unknown; nothing is sent past the leader's lease.
+// unknown. No request is sent after the leader's lease has expired.
 class Provisioner : public LeaderComponent {
  public:
   explicit Provisioner(const LeaderContext* context);
--- a/src/core/leader/quota_log.cpp
+++ b/src/core/leader/quota_log.cpp
@@ -75,8 +75,8 @@
   int listed = 0;
   for (const auto& [team, placements] : placements_) {
     if (listed++ >= kMaxTeamsInLine) break;
-    out += "; " + std::to_string(placements.tasks) + " placed from " + placements.first + ", " +
-           quota_checker().Describe(team);
+    out += "; " + std::to_string(placements.tasks) + " tasks placed, first " + placements.first +
+           ", " + quota_checker().Describe(team);
   }
   return out;
 }
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -158,7 +158,7 @@
   job->running = counts.running;
   job->zone_count = counts.by_zone;
   for (auto& [machine_id, m] : inconsistent_machines)
-    machine_table().ReleaseMachine(now, m, "its allocations differ from the leader's task states");
+    machine_table().ReleaseMachine(now, m, "allocations differ from the leader's task states");
 }
 
 }  // namespace badgershore
