--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -38,14 +38,14 @@
 // A job can't meet its deadline any more if less than this part of its estimate remains.
 constexpr double kDeadlineEstimateFactor = 0.8;
 
-bool IsCurrent(const QueuedTask& queued, const Job& job, const Machine* m) {
+bool IsCurrent(const QueuedTask& queued, const Job& job, const Machine* machine) {
   const TaskState& t = job.tasks[static_cast<size_t>(queued.task)];
-  return t.stage == TaskStage::kQueued && t.machine == m && t.bound_at == queued.bound_at;
+  return t.stage == TaskStage::kQueued && t.machine == machine && t.bound_at == queued.bound_at;
 }
 
 // Drops tasks at the head of the entry that are no longer bound to the machine.
-void DropStaleTasks(const Machine* m, QueueEntry* entry) {
-  while (!entry->tasks.empty() && !IsCurrent(entry->tasks.front(), *entry->job, m)) {
+void DropStaleTasks(const Machine* machine, QueueEntry* entry) {
+  while (!entry->tasks.empty() && !IsCurrent(entry->tasks.front(), *entry->job, machine)) {
     entry->tasks.pop_front();
   }
 }
@@ -59,39 +59,39 @@
 
 }  // namespace
 
-Resources Dispatch::AvailableResourcesFor(const Machine& m, const Job& job, const Resources& used,
-                                          Micros now) const {
-  Resources room = m.type->size - used;
-  if (m.held_for && m.held_for != &job && now < m.held_until) {
-    room = room - m.held_for->spec.need.Times(m.held_tasks);
+Resources Dispatch::AvailableResourcesFor(const Machine& machine, const Job& job,
+                                          const Resources& used, Micros now) const {
+  Resources room = machine.type->size - used;
+  if (machine.held_for && machine.held_for != &job && now < machine.held_until) {
+    room = room - machine.held_for->spec.need.Times(machine.held_tasks);
   }
-  if (job.IsGang() || !m.reserved_for) return room;
+  if (job.IsGang() || !machine.reserved_for) return room;
   // Jobs whose priority is not higher than a waiting gang's can't use its reservation.
-  const Job& gang = *m.reserved_for;
-  if (m.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
+  const Job& gang = *machine.reserved_for;
+  if (machine.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
   const bool gang_first =
       gang.spec.priority <= job.spec.priority || now - gang.submitted_at > options().age_limit;
-  return gang_first ? room - gang.spec.need.Times(m.reserved_members) : room;
+  return gang_first ? room - gang.spec.need.Times(machine.reserved_members) : room;
 }
 
-void Dispatch::StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
+void Dispatch::StartTask(Micros now, Machine* machine, Job* job, int task, Resources* used,
                          std::vector<Command>* commands) {
   --job->queued;
-  if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;
+  if (machine->held_for == job && --machine->held_tasks <= 0) machine->held_for = nullptr;
   const uint64_t attempt = usage_accounting().NextAttempt();
-  usage_accounting().PlaceTask(now, m, job, task, attempt);
+  usage_accounting().PlaceTask(now, machine, job, task, attempt);
   *used = *used + job->spec.need;
   commands->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
 }
 
-void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* commands) {
-  Resources used = m->Used();
+void Dispatch::StartTasksOn(Micros now, Machine* machine, std::vector<Command>* commands) {
+  Resources used = machine->Used();
   while (commands->size() < kMaxCommands) {
     // Under load most machines are full. This check avoids searching their queues.
-    if (!job_table().smallest_need().Fits(m->type->size - used)) break;
-    if (StartPreferred(now, m, &used, commands)) continue;
-    if (StartQueued(now, m, &used, commands)) continue;
-    if (StartRebound(now, m, &used, commands)) continue;
+    if (!job_table().smallest_need().Fits(machine->type->size - used)) break;
+    if (StartPreferred(now, machine, &used, commands)) continue;
+    if (StartQueued(now, machine, &used, commands)) continue;
+    if (StartRebound(now, machine, &used, commands)) continue;
     break;
   }
 }
@@ -107,11 +107,11 @@
   if (now < next_hold_at_) return;
   next_hold_at_ = now + kHoldInterval;
   for (const auto& [team, job] : OldestUnstartedJobs(now)) {
-    Machine* m = MachineToHold(now, *job);
-    if (!m) continue;
-    m->held_for = job;
-    m->held_tasks = 1;
-    m->held_until = now + kHoldDuration;
+    Machine* machine = MachineToHold(now, *job);
+    if (!machine) continue;
+    machine->held_for = job;
+    machine->held_tasks = 1;
+    machine->held_until = now + kHoldDuration;
   }
 }
 
@@ -131,17 +131,20 @@
 // The machine that is already held for the job, else the one with the most free CPU; null if there
 // is none.
 Machine* Dispatch::MachineToHold(Micros now, const Job& job) const {
-  const auto free_cpu = [](const Machine& m) { return (m.type->size - m.Used()).cpu; };
+  const auto free_cpu = [](const Machine& machine) {
+    return (machine.type->size - machine.Used()).cpu;
+  };
   Machine* best = nullptr;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for == &job && now < m->held_until) return m.get();
-    if (!machine_table().IsReady(*m, now) || m->reserved_for ||
-        (m->held_for && now < m->held_until) || !Allows(job.spec, *m->type, m->zone, m->spot) ||
-        !usage_accounting().ZoneAllows(job, m->zone) ||
-        !job.spec.need.Fits(m->type->size - m->GangUse())) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->held_for == &job && now < machine->held_until) return machine.get();
+    if (!machine_table().IsReady(*machine, now) || machine->reserved_for ||
+        (machine->held_for && now < machine->held_until) ||
+        !Allows(job.spec, *machine->type, machine->zone, machine->spot) ||
+        !usage_accounting().ZoneAllows(job, machine->zone) ||
+        !job.spec.need.Fits(machine->type->size - machine->GangUse())) {
       continue;
     }
-    if (!best || free_cpu(*m) > free_cpu(*best)) best = m.get();
+    if (!best || free_cpu(*machine) > free_cpu(*best)) best = machine.get();
   }
   return best;
 }
@@ -159,22 +162,22 @@
 
 // The entry whose first task starts next on the machine; null if none fits. Higher priorities go
 // first, then aged jobs, then the shortest estimate.
-QueueEntry* Dispatch::NextQueued(Micros now, Machine* m, const Resources& used) {
+QueueEntry* Dispatch::NextQueued(Micros now, Machine* machine, const Resources& used) {
   QueueEntry* best = nullptr;
-  for (auto it = m->queue.begin(); it != m->queue.end();) {
+  for (auto it = machine->queue.begin(); it != machine->queue.end();) {
     QueueEntry& entry = it->second;
     const Job& job = *entry.job;
-    DropStaleTasks(m, &entry);
+    DropStaleTasks(machine, &entry);
     if (entry.tasks.empty()) {
-      it = m->queue.erase(it);
+      it = machine->queue.erase(it);
       continue;
     }
     ++it;
     // The queue is sorted by estimate, so among equals the first that fits is kept.
     if (best && !StartsBefore(now, job, *best->job)) continue;
     if (!quota_checker().Allows(job, 1)) continue;
-    if (!job.spec.need.Fits(AvailableResourcesFor(*m, job, used, now)) ||
-        reconciler().MayStillRun(job) || !usage_accounting().ZoneAllows(job, m->zone)) {
+    if (!job.spec.need.Fits(AvailableResourcesFor(*machine, job, used, now)) ||
+        reconciler().MayStillRun(job) || !usage_accounting().ZoneAllows(job, machine->zone)) {
       continue;
     }
     best = &entry;
@@ -182,13 +185,13 @@
   return best;
 }
 
-bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used,
+bool Dispatch::StartQueued(Micros now, Machine* machine, Resources* used,
                            std::vector<Command>* commands) {
-  QueueEntry* entry = NextQueued(now, m, *used);
+  QueueEntry* entry = NextQueued(now, machine, *used);
   if (!entry) return false;
   const int task = entry->tasks.front().task;
   entry->tasks.pop_front();
-  StartTask(now, m, entry->job, task, used, commands);
+  StartTask(now, machine, entry->job, task, used, commands);
   return true;
 }
 
@@ -207,25 +210,26 @@
   return !job->bound.empty() && now - job->bound.front().bound_at >= wait;
 }
 
-bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& m,
+bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& machine,
                           const Resources& used) const {
-  return Allows(job.spec, *m.type, m.zone, m.spot) && !AvoidsMachine(now, job, m) &&
-         job.spec.need.Fits(AvailableResourcesFor(m, job, used, now)) &&
-         !reconciler().MayStillRun(job) && usage_accounting().ZoneAllows(job, m.zone);
+  return Allows(job.spec, *machine.type, machine.zone, machine.spot) &&
+         !AvoidsMachine(now, job, machine) &&
+         job.spec.need.Fits(AvailableResourcesFor(machine, job, used, now)) &&
+         !reconciler().MayStillRun(job) && usage_accounting().ZoneAllows(job, machine.zone);
 }
 
-void Dispatch::RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
+void Dispatch::RebindAndStart(Micros now, Machine* machine, Job* job, Resources* used,
                               std::vector<Command>* commands) {
   const int task = job->bound.front().task;
   job->bound.pop_front();
-  m->dispatched_work[static_cast<size_t>(job->bucket)] +=
-      NormalizedWork(job->spec, m->type->size - m->GangUse());
-  StartTask(now, m, job, task, used, commands);
+  machine->dispatched_work[static_cast<size_t>(job->bucket)] +=
+      NormalizedWork(job->spec, machine->type->size - machine->GangUse());
+  StartTask(now, machine, job, task, used, commands);
 }
 
 // Tasks within a guarantee, or of a team below its share, start before the machine's own queue, on
 // any machine where they fit.
-bool Dispatch::StartPreferred(Micros now, Machine* m, Resources* used,
+bool Dispatch::StartPreferred(Micros now, Machine* machine, Resources* used,
                               std::vector<Command>* commands) {
   const auto order = [](const Job* j) {
     return std::make_tuple(j->spec.priority, j->submitted_at);
@@ -237,16 +241,16 @@
       const int precedence = fair_share().ComparePrecedence(*job, *best);
       if (precedence < 0 || (precedence == 0 && order(job) >= order(best))) continue;
     }
-    if (!CanStartOn(now, *job, *m, *used)) continue;
+    if (!CanStartOn(now, *job, *machine, *used)) continue;
     best = job;
   }
   if (!best) return false;
-  RebindAndStart(now, m, best, used, commands);
+  RebindAndStart(now, machine, best, used, commands);
   return true;
 }
 
 // Moves a task that has waited long in another machine's queue to this machine, where it fits.
-bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used,
+bool Dispatch::StartRebound(Micros now, Machine* machine, Resources* used,
                             std::vector<Command>* commands) {
   const auto order = [&](const Job* j) {
     return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
@@ -257,37 +261,38 @@
     if (!HasRebindableTask(now, job) || !quota_checker().Allows(*job, 1)) continue;
     const int precedence = best ? fair_share().ComparePrecedence(*job, *best) : 1;
     if (precedence < 0 || (precedence == 0 && order(best) <= order(job))) continue;
-    if (!CanStartOn(now, *job, *m, *used)) continue;
+    if (!CanStartOn(now, *job, *machine, *used)) continue;
     best = job;
   }
   if (!best) return false;
-  RebindAndStart(now, m, best, used, commands);
+  RebindAndStart(now, machine, best, used, commands);
   return true;
 }
 
 // A job that can still meet its deadline avoids machines that gangs may preempt: a preempted task
 // starts over, and a deadline seldom leaves time for that.
-bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& m) const {
+bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& machine) const {
   return job.spec.deadline &&
          now < job.submitted_at + *job.spec.deadline -
                    job.spec.estimated_runtime.Scaled(kDeadlineEstimateFactor) &&
-         scaler().MayBePreemptedByGangs(job.spec, *m.type, m.zone, m.spot, now);
+         scaler().MayBePreemptedByGangs(job.spec, *machine.type, machine.zone, machine.spot, now);
 }
 
 void Dispatch::Bind(Micros now, Job* job, int task, const EligibleMachine& eligible) {
-  Machine* m = eligible.machine;
+  Machine* machine = eligible.machine;
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   t.stage = TaskStage::kQueued;
-  t.machine = m;
+  t.machine = machine;
   t.bound_at = now;
   ++job->queued;
   job->bound.push_back({task, now});
-  m->dispatched_work[static_cast<size_t>(job->bucket)] += NormalizedWork(job->spec, eligible.open);
+  machine->dispatched_work[static_cast<size_t>(job->bucket)] +=
+      NormalizedWork(job->spec, eligible.open);
   QueueEntry& entry =
-      m->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
+      machine->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
   entry.job = job;
   entry.tasks.push_back({task, now});
-  m->idle_since = {-1};
+  machine->idle_since = {-1};
 }
 
 void Dispatch::RefillBindBudget(Micros now) {
@@ -303,8 +308,9 @@
 
 std::vector<Dispatch::ReadyMachine> Dispatch::ReadyMachines(Micros now) const {
   std::vector<ReadyMachine> ready;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (machine_table().IsReady(*m, now)) ready.push_back({m.get(), m->GangUse()});
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (machine_table().IsReady(*machine, now))
+      ready.push_back({machine.get(), machine->GangUse()});
   }
   return ready;
 }
@@ -312,12 +318,13 @@
 std::vector<EligibleMachine> Dispatch::EligibleMachines(
     Micros now, const Job& job, const std::vector<ReadyMachine>& ready) const {
   std::vector<EligibleMachine> eligible;
-  for (const auto& [m, gang_use] : ready) {
-    if (!Allows(job.spec, *m->type, m->zone, m->spot)) continue;
-    if (!usage_accounting().ZoneAllows(job, m->zone) || AvoidsMachine(now, job, *m)) continue;
-    const Resources open = AvailableResourcesFor(*m, job, gang_use, now);
+  for (const auto& [machine, gang_use] : ready) {
+    if (!Allows(job.spec, *machine->type, machine->zone, machine->spot)) continue;
+    if (!usage_accounting().ZoneAllows(job, machine->zone) || AvoidsMachine(now, job, *machine))
+      continue;
+    const Resources open = AvailableResourcesFor(*machine, job, gang_use, now);
     if (!job.spec.need.Fits(open)) continue;
-    eligible.push_back({m, open});
+    eligible.push_back({machine, open});
   }
   return eligible;
 }
@@ -356,8 +363,8 @@
 }
 
 void Dispatch::Unbind(Job* job) {
-  for (const auto& [id, m] : machine_table().machines()) {
-    m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
+  for (const auto& [id, machine] : machine_table().machines()) {
+    machine->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
   }
   for (int i = 0; i < job->spec.tasks; ++i) {
     TaskState& t = job->tasks[static_cast<size_t>(i)];
@@ -370,10 +377,10 @@
   job->bound.clear();
 }
 
-void Dispatch::Unbind(Machine* m) {
-  for (auto& [key, entry] : m->queue) {
+void Dispatch::Unbind(Machine* machine) {
+  for (auto& [key, entry] : machine->queue) {
     for (auto it = entry.tasks.rbegin(); it != entry.tasks.rend(); ++it) {
-      if (!IsCurrent(*it, *entry.job, m)) continue;
+      if (!IsCurrent(*it, *entry.job, machine)) continue;
       TaskState& t = entry.job->tasks[static_cast<size_t>(it->task)];
       t.stage = TaskStage::kWaiting;
       t.machine = nullptr;
@@ -381,7 +388,7 @@
       entry.job->waiting.push_front(it->task);
     }
   }
-  m->queue.clear();
+  machine->queue.clear();
 }
 
 }  // namespace badgershore
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -27,14 +27,14 @@
   // first task has started there.
   void HoldMachinesForUnstartedJobs(Micros now);
   // Starts the tasks that fit on the machine and appends their start commands to `commands`.
-  void StartTasksOn(Micros now, Machine* m, std::vector<Command>* commands);
+  void StartTasksOn(Micros now, Machine* machine, std::vector<Command>* commands);
   // Returns all tasks in the machine's queue to their jobs' waiting tasks.
-  void Unbind(Machine* m);
+  void Unbind(Machine* machine);
   // Returns the job's queued tasks, on all machines, to its waiting tasks.
   void Unbind(Job* job);
   // The machine's resources that the job may use while `used` is in use. Excludes what is held or
   // reserved there for jobs that go before it.
-  Resources AvailableResourcesFor(const Machine& m, const Job& job, const Resources& used,
+  Resources AvailableResourcesFor(const Machine& machine, const Job& job, const Resources& used,
                                   Micros now) const;
 
  private:
@@ -51,7 +51,7 @@
                                                 const std::vector<ReadyMachine>& ready) const;
   void BindTasks(Micros now, Job* job, const std::vector<EligibleMachine>& eligible);
   void Bind(Micros now, Job* job, int task, const EligibleMachine& eligible);
-  bool AvoidsMachine(Micros now, const Job& job, const Machine& m) const;
+  bool AvoidsMachine(Micros now, const Job& job, const Machine& machine) const;
 
   // Holding machines.
   std::map<int, Job*> OldestUnstartedJobs(Micros now) const;
@@ -59,17 +59,18 @@
 
   // Starting. StartPreferred(), StartQueued() and StartRebound() start one task each, or return
   // false.
-  bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* commands);
-  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* commands);
-  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* commands);
-  QueueEntry* NextQueued(Micros now, Machine* m, const Resources& used);
+  bool StartPreferred(Micros now, Machine* machine, Resources* used,
+                      std::vector<Command>* commands);
+  bool StartQueued(Micros now, Machine* machine, Resources* used, std::vector<Command>* commands);
+  bool StartRebound(Micros now, Machine* machine, Resources* used, std::vector<Command>* commands);
+  QueueEntry* NextQueued(Micros now, Machine* machine, const Resources& used);
   int StartPriority(Micros now, const Job& job) const;
   bool StartsBefore(Micros now, const Job& a, const Job& b) const;
   bool HasRebindableTask(Micros now, Job* job) const;
-  bool CanStartOn(Micros now, const Job& job, const Machine& m, const Resources& used) const;
-  void RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
+  bool CanStartOn(Micros now, const Job& job, const Machine& machine, const Resources& used) const;
+  void RebindAndStart(Micros now, Machine* machine, Job* job, Resources* used,
                       std::vector<Command>* commands);
-  void StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
+  void StartTask(Micros now, Machine* machine, Job* job, int task, Resources* used,
                  std::vector<Command>* commands);
 
   Micros next_hold_at_;
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -81,8 +81,8 @@
 }
 
 void FairShare::ReleaseExpiredHolds(Micros now) {
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for && now >= m->held_until) m->held_for = nullptr;
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->held_for && now >= machine->held_until) machine->held_for = nullptr;
   }
 }
 
@@ -100,8 +100,8 @@
 }
 
 void FairShare::CountStoppingTasks() {
-  for (const auto& [id, m] : machine_table().machines()) {
-    for (const auto& [key, allocation] : m->allocations) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    for (const auto& [key, allocation] : machine->allocations) {
       if (!allocation.stop_requested || allocation.exited() || allocation.team < 0) continue;
       Resources& r = stopping_[static_cast<size_t>(allocation.team)];
       r = r + allocation.need;
@@ -121,10 +121,10 @@
 // Resets the teams' shares and records which teams have tasks to start.
 bool FairShare::IsContended(Micros now, Resources* capacity) {
   Resources free;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now)) continue;
-    *capacity = *capacity + m->type->size;
-    free = free + (m->type->size - m->Used());
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now)) continue;
+    *capacity = *capacity + machine->type->size;
+    free = free + (machine->type->size - machine->Used());
   }
   Resources wanted;
   for (Share& s : shares_) s = {};
@@ -174,11 +174,11 @@
 
 // Finds the tasks to preempt on the machine so that `tasks` tasks of the job fit, or as many as
 // possible. Returns false if not even one fits.
-bool FairShare::PlanPreemption(Micros now, Machine* m, const Job& job, int tasks,
-                               PreemptionOption* out) const {
-  Resources room = dispatch().AvailableResourcesFor(*m, job, m->Used(), now);
+bool FairShare::PlanPreemption(Micros now, Machine* machine, const Job& job, int tasks,
+                               PreemptionOption* option) const {
+  Resources room = dispatch().AvailableResourcesFor(*machine, job, machine->Used(), now);
   std::vector<Victim> victims;
-  for (auto& [key, allocation] : m->allocations) {
+  for (auto& [key, allocation] : machine->allocations) {
     if (allocation.exited()) continue;
     if (allocation.stop_requested) {
       room = room + allocation.need;
@@ -193,37 +193,38 @@
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
     return std::tie(a.loses_run, a.ran) < std::tie(b.loses_run, b.ran);
   });
-  out->machine = m;
+  option->machine = machine;
   for (const Victim& victim : victims) {
     if (room.Holds(job.spec.need) >= tasks) break;
     room = room + victim.allocation->need;
-    out->victims.push_back(victim.allocation);
-    out->cost += victim.Cost();
+    option->victims.push_back(victim.allocation);
+    option->cost += victim.Cost();
   }
-  out->tasks = static_cast<int>(std::min<int64_t>(room.Holds(job.spec.need), tasks));
+  option->tasks = static_cast<int>(std::min<int64_t>(room.Holds(job.spec.need), tasks));
   // Drops victims whose preemption doesn't let one more task fit.
-  while (!out->victims.empty()) {
-    const Resources less = room - out->victims.back()->need;
-    if (less.Holds(job.spec.need) < out->tasks) break;
+  while (!option->victims.empty()) {
+    const Resources less = room - option->victims.back()->need;
+    if (less.Holds(job.spec.need) < option->tasks) break;
     room = less;
-    out->victims.pop_back();
+    option->victims.pop_back();
   }
-  if (out->tasks > 0) out->cost /= out->tasks;
-  return out->tasks > 0;
+  if (option->tasks > 0) option->cost /= option->tasks;
+  return option->tasks > 0;
 }
 
 // Cheapest first.
 std::vector<FairShare::PreemptionOption> FairShare::FindOptions(Micros now, const Job& job,
                                                                 int tasks) const {
   std::vector<PreemptionOption> found;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now) || m->held_for || m->reserved_for) continue;
-    if (!Allows(job.spec, *m->type, m->zone, m->spot) ||
-        !usage_accounting().ZoneAllows(job, m->zone)) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now) || machine->held_for || machine->reserved_for)
+      continue;
+    if (!Allows(job.spec, *machine->type, machine->zone, machine->spot) ||
+        !usage_accounting().ZoneAllows(job, machine->zone)) {
       continue;
     }
     PreemptionOption option;
-    if (PlanPreemption(now, m.get(), job, tasks, &option)) found.push_back(std::move(option));
+    if (PlanPreemption(now, machine.get(), job, tasks, &option)) found.push_back(std::move(option));
   }
   std::stable_sort(
       found.begin(), found.end(),
@@ -235,8 +236,8 @@
 // them.
 int FairShare::MissingTasks(const Job& job) const {
   int missing = std::min(job.tasks_within_guarantee, job.remaining()) - job.placed;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for == &job) missing -= m->held_tasks;
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->held_for == &job) missing -= machine->held_tasks;
   }
   return missing;
 }
--- a/src/core/leader/fair_share.h
+++ b/src/core/leader/fair_share.h
@@ -64,8 +64,8 @@
   int MissingTasks(const Job& job) const;
   bool ExecutePreemption(Micros now, Job* job, const PreemptionOption& option, int tasks);
   std::vector<PreemptionOption> FindOptions(Micros now, const Job& job, int tasks) const;
-  bool PlanPreemption(Micros now, Machine* m, const Job& job, int tasks,
-                      PreemptionOption* out) const;
+  bool PlanPreemption(Micros now, Machine* machine, const Job& job, int tasks,
+                      PreemptionOption* option) const;
 
   std::vector<Share> shares_;  // by team
   std::vector<Job*> preferred_jobs_;
--- a/src/core/leader/gang_placement.cpp
+++ b/src/core/leader/gang_placement.cpp
@@ -59,10 +59,10 @@
 // have to fetch the image first.
 bool GangPlacement::IsOldAttemptListed(Micros now, const Job& gang,
                                        const std::vector<int>& members) const {
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now)) continue;
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now)) continue;
     for (int task : members) {
-      if (m->allocations.contains({{gang.spec.id, task}, gang.gang_attempt})) return true;
+      if (machine->allocations.contains({{gang.spec.id, task}, gang.gang_attempt})) return true;
     }
   }
   return false;
@@ -72,13 +72,15 @@
 std::vector<GangPlacement::MachineRoom> GangPlacement::MachinesWithRoom(
     Micros now, const Job& gang, const std::string& zone) const {
   std::vector<MachineRoom> rooms;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot))
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now) ||
+        !Allows(gang.spec, *machine->type, machine->zone, machine->spot))
       continue;
-    if (!zone.empty() && m->zone != zone) continue;
-    if (!usage_accounting().ZoneAllows(gang, m->zone)) continue;
-    if (m->reserved_for && m->reserved_for != &gang) continue;
-    rooms.push_back({m.get(), dispatch().AvailableResourcesFor(*m, gang, m->Used(), now)});
+    if (!zone.empty() && machine->zone != zone) continue;
+    if (!usage_accounting().ZoneAllows(gang, machine->zone)) continue;
+    if (machine->reserved_for && machine->reserved_for != &gang) continue;
+    rooms.push_back(
+        {machine.get(), dispatch().AvailableResourcesFor(*machine, gang, machine->Used(), now)});
   }
   return rooms;
 }
--- a/src/core/leader/gang_preemption.cpp
+++ b/src/core/leader/gang_preemption.cpp
@@ -57,11 +57,11 @@
   return std::min(ran, allocation.job->spec.checkpoint_duration + kRestartTime);
 }
 
-std::optional<double> GangPreemption::CostToClear(Micros now, const Machine& m, const Job& gang,
-                                                  bool after_gangs) const {
-  Resources kept = after_gangs ? Resources{} : m.GangUse();
+std::optional<double> GangPreemption::CostToClear(Micros now, const Machine& machine,
+                                                  const Job& gang, bool after_gangs) const {
+  Resources kept = after_gangs ? Resources{} : machine.GangUse();
   double cost = 0;
-  for (const auto& [key, allocation] : m.allocations) {
+  for (const auto& [key, allocation] : machine.allocations) {
     if (allocation.exited() || (!after_gangs && allocation.job && allocation.job->IsGang()))
       continue;
     const auto cpu = static_cast<double>(allocation.need.cpu) / 1000;
@@ -81,24 +81,24 @@
                   std::max(1.0, allocation.job->spec.estimated_runtime.ToSeconds() - ran);
     }
   }
-  if (!gang.spec.need.Fits(m.type->size - kept)) return std::nullopt;
-  if (!m.HasImage(gang.spec.image) && m.type->fetch_gb_per_s > 0) {
-    cost += gang.spec.image_gb / m.type->fetch_gb_per_s * static_cast<double>(gang.spec.need.cpu) /
-            1000;
+  if (!gang.spec.need.Fits(machine.type->size - kept)) return std::nullopt;
+  if (!machine.HasImage(gang.spec.image) && machine.type->fetch_gb_per_s > 0) {
+    cost += gang.spec.image_gb / machine.type->fetch_gb_per_s *
+            static_cast<double>(gang.spec.need.cpu) / 1000;
   }
   return cost;
 }
 
-void GangPreemption::PreemptForGang(Micros now, Machine* m, const Job& gang) {
-  const Resources need = gang.spec.need.Times(m->reserved_members);
-  Resources room = m->type->size - m->Used();
+void GangPreemption::PreemptForGang(Micros now, Machine* machine, const Job& gang) {
+  const Resources need = gang.spec.need.Times(machine->reserved_members);
+  Resources room = machine->type->size - machine->Used();
   std::vector<Victim> victims;
-  for (auto& [key, allocation] : m->allocations) {
+  for (auto& [key, allocation] : machine->allocations) {
     if (allocation.exited()) continue;
     if (allocation.stop_requested) {
       room = room + allocation.need;
     } else if (MayPreempt(allocation, gang)) {
-      victims.push_back({LostRunTime(now, allocation), m, &allocation});
+      victims.push_back({LostRunTime(now, allocation), machine, &allocation});
     }
   }
   std::sort(victims.begin(), victims.end(), LosesLess);
@@ -113,25 +113,25 @@
     lost += victim.lost.ToSeconds() * static_cast<double>(allocation->need.cpu) / 1000;
   }
   if (preempted == 0) return;
-  outbox()->Debug("preempted " + std::to_string(preempted) + " tasks on machine " + m->id +
+  outbox()->Debug("preempted " + std::to_string(preempted) + " tasks on machine " + machine->id +
                   " for gang " + gang.spec.id + ", " + std::to_string(static_cast<int>(lost)) +
                   " CPU seconds lost");
-  dispatch().Unbind(m);
-  agent_client().SendStops(m);
+  dispatch().Unbind(machine);
+  agent_client().SendStops(machine);
 }
 
 void GangPreemption::PreemptForQuota(Micros now, const Job& gang) {
   // The gang's own reservation is part of the shortfall already, so its members aren't added again.
   Resources missing = quota_checker().Shortfall(gang, 0);
   std::vector<Victim> victims;
-  for (const auto& [id, m] : machine_table().machines()) {
-    for (auto& [key, allocation] : m->allocations) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    for (auto& [key, allocation] : machine->allocations) {
       if (allocation.exited() || allocation.team != gang.team) continue;
       if (allocation.stop_requested) {
         missing = missing - allocation.need;
       } else if (allocation.job &&
                  allocation.preemptible_priority > static_cast<int>(gang.spec.priority)) {
-        victims.push_back({LostRunTime(now, allocation), m.get(), &allocation});
+        victims.push_back({LostRunTime(now, allocation), machine.get(), &allocation});
       }
     }
   }
@@ -143,7 +143,7 @@
     missing = missing - victim.allocation->need;
     affected[victim.machine->id] = victim.machine;
   }
-  for (auto& [id, m] : affected) agent_client().SendStops(m);
+  for (auto& [id, machine] : affected) agent_client().SendStops(machine);
 }
 
 }  // namespace badgershore
--- a/src/core/leader/gang_preemption.h
+++ b/src/core/leader/gang_preemption.h
@@ -18,11 +18,11 @@
   // The cost, in CPU-seconds, of clearing the machine for members of the gang: lost run time and
   // the image transfer. Empty if not even one member would fit. `after_gangs`: the gang waits until
   // the gangs that run there have ended.
-  std::optional<double> CostToClear(Micros now, const Machine& m, const Job& gang,
+  std::optional<double> CostToClear(Micros now, const Machine& machine, const Job& gang,
                                     bool after_gangs) const;
   // Preempts tasks on the machine until the gang's reserved members fit, in order of the run time
   // that is lost, and clears the machine's queue.
-  void PreemptForGang(Micros now, Machine* m, const Job& gang);
+  void PreemptForGang(Micros now, Machine* machine, const Job& gang);
   // Preempts the team's own tasks of lower priority until the gang fits within the team's limit, in
   // order of the run time that is lost.
   void PreemptForQuota(Micros now, const Job& gang);
--- a/src/core/leader/gang_reservations.cpp
+++ b/src/core/leader/gang_reservations.cpp
@@ -17,13 +17,13 @@
 constexpr double kFailedMachinePenalty = 1e6;
 
 // The part of the machine's resources that the gang's reservation may use.
-Resources ReservableRoom(const Machine& m, bool prioritized) {
-  return prioritized ? m.type->size : m.type->size - m.GangUse();
+Resources ReservableRoom(const Machine& machine, bool prioritized) {
+  return prioritized ? machine.type->size : machine.type->size - machine.GangUse();
 }
 
-int MembersThatFit(const Machine& m, const Job& gang, int missing, bool prioritized) {
+int MembersThatFit(const Machine& machine, const Job& gang, int missing, bool prioritized) {
   return static_cast<int>(
-      std::min<int64_t>(ReservableRoom(m, prioritized).Holds(gang.spec.need), missing));
+      std::min<int64_t>(ReservableRoom(machine, prioritized).Holds(gang.spec.need), missing));
 }
 
 }  // namespace
@@ -57,16 +57,17 @@
                                                                       const std::string& zone,
                                                                       bool prioritized) const {
   std::vector<Candidate> candidates;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot))
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now) ||
+        !Allows(gang.spec, *machine->type, machine->zone, machine->spot))
       continue;
-    if (!zone.empty() && m->zone != zone) continue;
-    if (m->reserved_for && m->reserved_for != &gang) continue;
-    std::optional<double> cost = gang_preemption().CostToClear(now, *m, gang, prioritized);
+    if (!zone.empty() && machine->zone != zone) continue;
+    if (machine->reserved_for && machine->reserved_for != &gang) continue;
+    std::optional<double> cost = gang_preemption().CostToClear(now, *machine, gang, prioritized);
     if (!cost) continue;
-    if (m->reserved_for == &gang) *cost = kReservedCost;
-    if (m->failed_jobs.count(gang.spec.id)) *cost += kFailedMachinePenalty;
-    candidates.push_back({m.get(), *cost});
+    if (machine->reserved_for == &gang) *cost = kReservedCost;
+    if (machine->failed_jobs.count(gang.spec.id)) *cost += kFailedMachinePenalty;
+    candidates.push_back({machine.get(), *cost});
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& a, const Candidate& b) { return a.cost < b.cost; });
@@ -98,21 +99,23 @@
   int members = 0;
   bool after_gangs = false;
   for (const Candidate& c : selection.machines) {
-    Machine* m = c.machine;
-    m->reserved_for = &gang;
-    m->reserved_members = MembersThatFit(*m, gang, gang.remaining() - members, prioritized);
-    members += m->reserved_members;
-    after_gangs |= !gang.spec.need.Times(m->reserved_members).Fits(m->type->size - m->GangUse());
+    Machine* machine = c.machine;
+    machine->reserved_for = &gang;
+    machine->reserved_members =
+        MembersThatFit(*machine, gang, gang.remaining() - members, prioritized);
+    members += machine->reserved_members;
+    after_gangs |= !gang.spec.need.Times(machine->reserved_members)
+                        .Fits(machine->type->size - machine->GangUse());
   }
   return after_gangs;
 }
 
 void GangReservations::ReleaseReservation(Job* gang) {
   if (!std::exchange(gang->has_reservation, false)) return;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (m->reserved_for != gang) continue;
-    m->reserved_for = nullptr;
-    m->reserved_members = 0;
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (machine->reserved_for != gang) continue;
+    machine->reserved_for = nullptr;
+    machine->reserved_members = 0;
   }
 }
 
--- a/src/core/leader/gang_scheduler.cpp
+++ b/src/core/leader/gang_scheduler.cpp
@@ -98,23 +98,23 @@
 }
 
 void GangScheduler::StopGang(Micros now, Job* gang, Micros grace) {
-  for (auto& [id, m] : machine_table().machines()) {
-    if (StopMembersOn(now, m.get(), gang, grace)) agent_client().SendStops(m.get());
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (StopMembersOn(now, machine.get(), gang, grace)) agent_client().SendStops(machine.get());
   }
   gang->gang_stopping = true;
 }
 
 // Returns whether stops have to be sent to the machine.
-bool GangScheduler::StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace) {
+bool GangScheduler::StopMembersOn(Micros now, Machine* machine, Job* gang, Micros grace) {
   bool has_stops = false;
-  for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+  for (auto it = machine->allocations.begin(); it != machine->allocations.end();) {
     Allocation& allocation = it->second;
     if (allocation.job == gang && allocation.start_unsent) {
       const int task = allocation.ref.task;
       const uint64_t attempt = allocation.attempt;
-      it = usage_accounting().Remove(m, it);
+      it = usage_accounting().Remove(machine, it);
       const TaskState& t = gang->tasks[static_cast<size_t>(task)];
-      if (t.stage == TaskStage::kPlaced && t.machine == m && t.attempt == attempt) {
+      if (t.stage == TaskStage::kPlaced && t.machine == machine && t.attempt == attempt) {
         job_table().RequeueTask(now, gang, task, {});
       }
       continue;
--- a/src/core/leader/gang_scheduler.h
+++ b/src/core/leader/gang_scheduler.h
@@ -28,7 +28,7 @@
   bool NeedsMachines(Micros now, const Job& gang) const;
   bool CheckGangQuota(Micros now, Job* gang, bool prioritized);
   void PreemptForBlockedGang(Micros now, const std::vector<Job*>& waiting);
-  bool StopMembersOn(Micros now, Machine* m, Job* gang, Micros grace);
+  bool StopMembersOn(Micros now, Machine* machine, Job* gang, Micros grace);
 
   Micros next_quota_preemption_at_;
 };
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -138,10 +138,10 @@
 
 // Removes all references to the job.
 void JobTable::DetachJob(Micros now, Job* job) {
-  for (auto& [id, m] : machine_table().machines()) {
-    m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
-    usage_accounting().DetachJob(m.get(), job);
-    if (m->held_for == job) m->held_for = nullptr;
+  for (auto& [id, machine] : machine_table().machines()) {
+    machine->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
+    usage_accounting().DetachJob(machine.get(), job);
+    if (machine->held_for == job) machine->held_for = nullptr;
   }
   record_writer().RemoveProgress(now, *job);
   if (job->IsGang()) gang_scheduler().Remove(job);
@@ -159,18 +159,18 @@
 }
 
 void JobTable::StopTasks(const std::string& id) {
-  for (auto& [machine_id, m] : machine_table().machines()) {
-    if (StopTasksOn(m.get(), id)) agent_client().SendStops(m.get());
+  for (auto& [machine_id, machine] : machine_table().machines()) {
+    if (StopTasksOn(machine.get(), id)) agent_client().SendStops(machine.get());
   }
 }
 
 // Drops starts that have not been sent. Returns whether stops have to be sent to the machine.
-bool JobTable::StopTasksOn(Machine* m, const std::string& id) {
+bool JobTable::StopTasksOn(Machine* machine, const std::string& id) {
   bool has_stops = false;
-  for (auto it = m->allocations.begin(); it != m->allocations.end();) {
+  for (auto it = machine->allocations.begin(); it != machine->allocations.end();) {
     Allocation& allocation = it->second;
     if (allocation.ref.job == id && allocation.start_unsent) {
-      it = usage_accounting().Remove(m, it);
+      it = usage_accounting().Remove(machine, it);
       continue;
     }
     if (allocation.ref.job == id && !allocation.exited()) {
--- a/src/core/leader/job_table.h
+++ b/src/core/leader/job_table.h
@@ -61,7 +61,7 @@
   void ForecastArrival(Micros now, const Job& job);
   void DetachJob(Micros now, Job* job);
   void StopTasks(const std::string& id);
-  bool StopTasksOn(Machine* m, const std::string& id);
+  bool StopTasksOn(Machine* machine, const std::string& id);
   void MarkTaskDone(Micros now, Job* job, int task);
   void MarkTeamGuaranteedTasks(Micros now, int team);
 
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -198,18 +198,18 @@
 }
 
 void Leader::RetryFailedLoads(Micros now) {
-  std::vector<Load> due;
+  std::vector<FailedLoad> due;
   for (size_t i = failed_loads_.size(); i-- > 0;) {
-    if (now < failed_loads_[i].at) continue;
+    if (now < failed_loads_[i].retry_at) continue;
     due.push_back(failed_loads_[i]);
     failed_loads_.erase(failed_loads_.begin() + static_cast<long>(i));
   }
-  for (const Load& load : due) LoadPrefix(load.prefix, load.after);
+  for (const FailedLoad& load : due) LoadPrefix(load.prefix, load.after);
 }
 
 void Leader::RejectExpiredEarlyHeartbeats(Micros now) {
   while (!early_heartbeats_.empty() &&
-         now - early_heartbeats_.front().at > kEarlyHeartbeatTimeout) {
+         now - early_heartbeats_.front().received_at > kEarlyHeartbeatTimeout) {
     context_.outbox->effects.heartbeat_responses.push_back(
         {early_heartbeats_.front().request_id, 503, "", 0, {}});
     early_heartbeats_.pop_front();
--- a/src/core/leader/leader.h
+++ b/src/core/leader/leader.h
@@ -108,15 +108,15 @@
   bool ready_ = false;
   bool jobs_loaded_ = false;
   int pending_loads_ = 2;
-  struct Load {
-    Micros at;
+  struct FailedLoad {
+    Micros retry_at;
     std::string prefix, after;
   };
-  std::vector<Load> failed_loads_;
+  std::vector<FailedLoad> failed_loads_;
   std::unique_ptr<KeyRangeCache> jobs_cache_;
   std::unique_ptr<LeaderAuthority> authority_;
   struct EarlyHeartbeat {
-    Micros at;
+    Micros received_at;
     RequestId request_id = 0;
     Heartbeat heartbeat;
   };
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -92,10 +92,11 @@
 }
 
 void Provisioner::Apply(Micros now, const ScalingDecision& decision) {
-  for (Machine* m : decision.undrain) m->draining = false;
-  for (Machine* m : decision.drain) Drain(now, m);
-  for (Machine* m : decision.release) {
-    if (m->allocations.empty() && m->queue.empty()) machine_table().ReleaseMachine(now, m, "idle");
+  for (Machine* machine : decision.undrain) machine->draining = false;
+  for (Machine* machine : decision.drain) Drain(now, machine);
+  for (Machine* machine : decision.release) {
+    if (machine->allocations.empty() && machine->queue.empty())
+      machine_table().ReleaseMachine(now, machine, "idle");
   }
   for (const ScaleOutRequest& request : decision.scale_out) {
     ScaleOut(now, request.offer, request.count);
@@ -125,9 +126,9 @@
 void Provisioner::LogFleet() const {
   int booting = 0;
   int up = 0;
-  for (auto& [id, m] : machine_table().machines()) {
-    booting += m->stage == MachineStage::kBooting;
-    up += m->stage == MachineStage::kUp;
+  for (auto& [id, machine] : machine_table().machines()) {
+    booting += machine->stage == MachineStage::kBooting;
+    up += machine->stage == MachineStage::kUp;
   }
   outbox()->Debug("fleet: machines up " + std::to_string(up) + ", booting " +
                   std::to_string(booting) + ", jobs " + std::to_string(job_table().jobs().size()) +
--- a/src/core/leader/record_writer.cpp
+++ b/src/core/leader/record_writer.cpp
@@ -26,8 +26,8 @@
   return static_cast<size_t>(settings.state_value_kb * 1024 * kPageFill);
 }
 
-MachineRecord ToMachineRecord(const Machine& m) {
-  return {m.id, m.endpoint, m.type_name, m.zone, m.spot};
+MachineRecord ToMachineRecord(const Machine& machine) {
+  return {machine.id, machine.endpoint, machine.type_name, machine.zone, machine.spot};
 }
 
 // Upper bounds of the size that an item takes in its page's value.
--- a/src/core/leader/stuck_job_detector.cpp
+++ b/src/core/leader/stuck_job_detector.cpp
@@ -51,16 +51,17 @@
 
 std::string StuckJobDetector::MachineWaitReason(Micros now, const Job& job) const {
   int eligible = 0, ready = 0, with_room = 0, unrecorded = 0;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!m->type || !Allows(job.spec, *m->type, m->zone, m->spot) ||
-        !usage_accounting().ZoneAllows(job, m->zone)) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine->type || !Allows(job.spec, *machine->type, machine->zone, machine->spot) ||
+        !usage_accounting().ZoneAllows(job, machine->zone)) {
       continue;
     }
     ++eligible;
-    if (!machine_table().IsReady(*m, now)) continue;
+    if (!machine_table().IsReady(*machine, now)) continue;
     ++ready;
-    unrecorded += !m->durable;
-    with_room += job.spec.need.Fits(dispatch().AvailableResourcesFor(*m, job, m->Used(), now));
+    unrecorded += !machine->durable;
+    with_room +=
+        job.spec.need.Fits(dispatch().AvailableResourcesFor(*machine, job, machine->Used(), now));
   }
   if (eligible == 0) return "no eligible machine";
   if (ready == 0) return "none of " + ToText(eligible) + " eligible machines is ready";
@@ -116,16 +117,17 @@
 StuckJobDetector::JobCounts StuckJobDetector::CountAllocations(const Job& job) const {
   JobCounts counts;
   counts.on_machine.resize(job.tasks.size(), 0);
-  for (auto& [id, m] : machine_table().machines()) {
-    counts.machines.insert(m.get());
-    for (auto& [key, allocation] : m->allocations) {
+  for (auto& [id, machine] : machine_table().machines()) {
+    counts.machines.insert(machine.get());
+    for (auto& [key, allocation] : machine->allocations) {
       if (allocation.job != &job || allocation.exited()) continue;
       ++counts.placed;
       counts.running += allocation.phase == TaskPhase::kRunning;
-      ++counts.by_zone[m->zone];
+      ++counts.by_zone[machine->zone];
       const auto task = static_cast<size_t>(allocation.ref.task);
       const TaskState& t = job.tasks[task];
-      if (t.machine == m.get() && t.attempt == allocation.attempt) counts.on_machine[task] = 1;
+      if (t.machine == machine.get() && t.attempt == allocation.attempt)
+        counts.on_machine[task] = 1;
     }
   }
   return counts;
@@ -157,8 +159,9 @@
   job->placed = counts.placed;
   job->running = counts.running;
   job->zone_count = counts.by_zone;
-  for (auto& [machine_id, m] : inconsistent_machines)
-    machine_table().ReleaseMachine(now, m, "allocations differ from the leader's task states");
+  for (auto& [machine_id, machine] : inconsistent_machines)
+    machine_table().ReleaseMachine(now, machine,
+                                   "allocations differ from the leader's task states");
 }
 
 }  // namespace badgershore
