--- a/src/core/leader/dispatch.cpp
+++ b/src/core/leader/dispatch.cpp
@@ -16,40 +16,41 @@
 namespace badgershore {
 namespace {
 
-// Start priorities: an unstarted job's first task goes before aged jobs, or a large old job would
-// keep all others from starting under overload.
+// Start priorities. An unstarted job's first task goes before aged jobs: otherwise a large old job
+// would keep all others from starting under overload.
 constexpr int kNormalStart = 0;
 constexpr int kAgedStart = 1;
 constexpr int kUnstartedStart = 2;
 
-// Start commands in one answer, which has to stay far below 64 KiB.
+// Limit on start commands in one heartbeat response, which has to stay far below 64 KiB.
 constexpr size_t kMaxCommands = 300;
 
-// Machines looked at while binding, at once and per second. A leader that bound all work of a large
-// fleet in one go after a takeover would lose its lease; with hundreds of reports a second the
-// limit at once alone would still let it spend all its time on binding.
+// Limits on the machines examined while binding: burst and rate per second. Binding all tasks of a
+// large fleet in one call after a failover would take so long that the leader lost its lease. The
+// burst limit alone is not enough: with hundreds of heartbeats a second the leader could still
+// spend all its time on binding.
 constexpr double kBindBudget = 20000;
 constexpr double kBindBudgetPerSecond = 400000;
 
 constexpr Micros kHoldInterval = Seconds(1);
 constexpr Micros kHoldDuration = Seconds(3);
 
-// A job whose deadline leaves less than this part of its estimate can't meet it any more.
+// A job can't meet its deadline any more if less than this part of its estimate remains.
 constexpr double kDeadlineEstimateFactor = 0.8;
 
-bool IsCurrent(const QueuedTask& queued, const Job& job, const Machine* m) {
+bool IsCurrent(const QueuedTask& queued, const Job& job, const Machine* machine) {
   const TaskState& t = job.tasks[static_cast<size_t>(queued.task)];
-  return t.stage == TaskStage::kQueued && t.machine == m && t.bound_at == queued.bound_at;
+  return t.stage == TaskStage::kQueued && t.machine == machine && t.bound_at == queued.bound_at;
 }
 
-// Drops tasks that have left the machine's queue meanwhile.
-void DropStaleTasks(const Machine* m, QueueEntry* entry) {
-  while (!entry->tasks.empty() && !IsCurrent(entry->tasks.front(), *entry->job, m)) {
+// Drops tasks at the head of the entry that are no longer bound to the machine.
+void DropStaleTasks(const Machine* machine, QueueEntry* entry) {
+  while (!entry->tasks.empty() && !IsCurrent(entry->tasks.front(), *entry->job, machine)) {
     entry->tasks.pop_front();
   }
 }
 
-void EndDelays(Micros now, Job* job) {
+void RequeueDelayedTasks(Micros now, Job* job) {
   while (!job->delayed.empty() && job->delayed.begin()->first <= now) {
     job->waiting.push_back(job->delayed.begin()->second);
     job->delayed.erase(job->delayed.begin());
@@ -58,39 +59,39 @@
 
 }  // namespace
 
-Resources Dispatch::RoomFor(const Machine& m, const Job& job, const Resources& used,
-                            Micros now) const {
-  Resources room = m.type->size - used;
-  if (m.held_for && m.held_for != &job && now < m.held_until) {
-    room = room - m.held_for->spec.need.Times(m.held_tasks);
+Resources Dispatch::AvailableResourcesFor(const Machine& machine, const Job& job,
+                                          const Resources& used, Micros now) const {
+  Resources room = machine.type->size - used;
+  if (machine.held_for && machine.held_for != &job && now < machine.held_until) {
+    room = room - machine.held_for->spec.need.Times(machine.held_tasks);
   }
-  if (job.IsGang() || !m.reserved_for) return room;
-  // Work of no higher priority leaves a waiting gang its reserved room.
-  const Job& gang = *m.reserved_for;
-  if (m.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
+  if (job.IsGang() || !machine.reserved_for) return room;
+  // Jobs whose priority is not higher than a waiting gang's can't use its reservation.
+  const Job& gang = *machine.reserved_for;
+  if (machine.reserved_after_gangs && job.spec.priority > gang.spec.priority) return room;
   const bool gang_first =
       gang.spec.priority <= job.spec.priority || now - gang.submitted_at > options().age_limit;
-  return gang_first ? room - gang.spec.need.Times(m.reserved_members) : room;
+  return gang_first ? room - gang.spec.need.Times(machine.reserved_members) : room;
 }
 
-void Dispatch::StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
-                         std::vector<Command>* orders) {
+void Dispatch::StartTask(Micros now, Machine* machine, Job* job, int task, Resources* used,
+                         std::vector<Command>* commands) {
   --job->queued;
-  if (m->held_for == job && --m->held_tasks <= 0) m->held_for = nullptr;
+  if (machine->held_for == job && --machine->held_tasks <= 0) machine->held_for = nullptr;
   const uint64_t attempt = usage_accounting().NextAttempt();
-  usage_accounting().PlaceTask(now, m, job, task, attempt);
+  usage_accounting().PlaceTask(now, machine, job, task, attempt);
   *used = *used + job->spec.need;
-  orders->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
+  commands->push_back({Command::Verb::kStart, {job->spec.id, task}, attempt, {}});
 }
 
-void Dispatch::StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders) {
-  Resources used = m->Used();
-  while (orders->size() < kMaxCommands) {
-    // Under load most machines are full: this saves looking at every queue for them.
-    if (!job_table().smallest_need().Fits(m->type->size - used)) break;
-    if (StartPreferred(now, m, &used, orders)) continue;
-    if (StartQueued(now, m, &used, orders)) continue;
-    if (StartRebound(now, m, &used, orders)) continue;
+void Dispatch::StartTasksOn(Micros now, Machine* machine, std::vector<Command>* commands) {
+  Resources used = machine->Used();
+  while (commands->size() < kMaxCommands) {
+    // Under load most machines are full. This check avoids searching their queues.
+    if (!job_table().smallest_need().Fits(machine->type->size - used)) break;
+    if (StartPreferred(now, machine, &used, commands)) continue;
+    if (StartQueued(now, machine, &used, commands)) continue;
+    if (StartRebound(now, machine, &used, commands)) continue;
     break;
   }
 }
@@ -100,24 +101,25 @@
   return job.IsAged(now, options().age_limit) ? kAgedStart : kNormalStart;
 }
 
-// A task that needs much of a machine never finds it empty enough while small ones keep coming.
+// Without a hold, a task that needs most of a machine would never fit while small tasks keep
+// arriving.
 void Dispatch::HoldMachinesForUnstartedJobs(Micros now) {
   if (now < next_hold_at_) return;
   next_hold_at_ = now + kHoldInterval;
   for (const auto& [team, job] : OldestUnstartedJobs(now)) {
-    Machine* m = MachineToHold(now, *job);
-    if (!m) continue;
-    m->held_for = job;
-    m->held_tasks = 1;
-    m->held_until = now + kHoldDuration;
+    Machine* machine = MachineToHold(now, *job);
+    if (!machine) continue;
+    machine->held_for = job;
+    machine->held_tasks = 1;
+    machine->held_until = now + kHoldDuration;
   }
 }
 
-// By team.
+// Keyed by team.
 std::map<int, Job*> Dispatch::OldestUnstartedJobs(Micros now) const {
   std::map<int, Job*> oldest;
-  for (auto& [id, ptr] : job_table().jobs()) {
-    Job* job = ptr.get();
+  for (auto& [id, owned_job] : job_table().jobs()) {
+    Job* job = owned_job.get();
     if (job->IsGang() || job->queued == 0 || !job->IsUnstarted(now, options().age_limit)) continue;
     if (!quota_checker().Allows(*job, 1) || reconciler().MayStillRun(*job)) continue;
     Job*& first = oldest[job->team];
@@ -126,24 +128,29 @@
   return oldest;
 }
 
-// The machine that is held for the job already, else the one with most free CPU; null: none.
+// The machine that is already held for the job, else the one with the most free CPU; null if there
+// is none.
 Machine* Dispatch::MachineToHold(Micros now, const Job& job) const {
-  const auto free_cpu = [](const Machine& m) { return (m.type->size - m.Used()).cpu; };
+  const auto free_cpu = [](const Machine& machine) {
+    return (machine.type->size - machine.Used()).cpu;
+  };
   Machine* best = nullptr;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for == &job && now < m->held_until) return m.get();
-    if (!machine_table().IsReady(*m, now) || m->reserved_for ||
-        (m->held_for && now < m->held_until) || !Allows(job.spec, *m->type, m->zone, m->spot) ||
-        !usage_accounting().ZoneAllows(job, m->zone) ||
-        !job.spec.need.Fits(m->type->size - m->GangUse())) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->held_for == &job && now < machine->held_until) return machine.get();
+    if (!machine_table().IsReady(*machine, now) || machine->reserved_for ||
+        (machine->held_for && now < machine->held_until) ||
+        !Allows(job.spec, *machine->type, machine->zone, machine->spot) ||
+        !usage_accounting().ZoneAllows(job, machine->zone) ||
+        !job.spec.need.Fits(machine->type->size - machine->GangUse())) {
       continue;
     }
-    if (!best || free_cpu(*m) > free_cpu(*best)) best = m.get();
+    if (!best || free_cpu(*machine) > free_cpu(*best)) best = machine.get();
   }
   return best;
 }
 
-// Whether `a` leaves a machine's queue before `b`, which is no longer in estimate than `a`.
+// Whether `a` is started from a machine's queue before `b`, whose estimate is not longer than that
+// of `a`.
 bool Dispatch::StartsBefore(Micros now, const Job& a, const Job& b) const {
   const int precedence = fair_share().ComparePrecedence(a, b);
   if (precedence != 0) return precedence > 0;
@@ -153,24 +160,24 @@
   return priority_a != kNormalStart && a.submitted_at < b.submitted_at;
 }
 
-// The entry whose first task starts next on the machine; null: none fits. Higher ranks go before
-// lower ones, aged jobs before others, then the shortest estimate.
-QueueEntry* Dispatch::NextQueued(Micros now, Machine* m, const Resources& used) {
+// The entry whose first task starts next on the machine; null if none fits. Higher priorities go
+// first, then aged jobs, then the shortest estimate.
+QueueEntry* Dispatch::NextQueued(Micros now, Machine* machine, const Resources& used) {
   QueueEntry* best = nullptr;
-  for (auto it = m->queue.begin(); it != m->queue.end();) {
+  for (auto it = machine->queue.begin(); it != machine->queue.end();) {
     QueueEntry& entry = it->second;
     const Job& job = *entry.job;
-    DropStaleTasks(m, &entry);
+    DropStaleTasks(machine, &entry);
     if (entry.tasks.empty()) {
-      it = m->queue.erase(it);
+      it = machine->queue.erase(it);
       continue;
     }
     ++it;
-    // The queue is in order of estimate: among equals the first that fits stays.
+    // The queue is sorted by estimate, so among equals the first that fits is kept.
     if (best && !StartsBefore(now, job, *best->job)) continue;
     if (!quota_checker().Allows(job, 1)) continue;
-    if (!job.spec.need.Fits(RoomFor(*m, job, used, now)) || reconciler().MayStillRun(job) ||
-        !usage_accounting().ZoneAllows(job, m->zone)) {
+    if (!job.spec.need.Fits(AvailableResourcesFor(*machine, job, used, now)) ||
+        reconciler().MayStillRun(job) || !usage_accounting().ZoneAllows(job, machine->zone)) {
       continue;
     }
     best = &entry;
@@ -178,12 +185,13 @@
   return best;
 }
 
-bool Dispatch::StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
-  QueueEntry* entry = NextQueued(now, m, *used);
+bool Dispatch::StartQueued(Micros now, Machine* machine, Resources* used,
+                           std::vector<Command>* commands) {
+  QueueEntry* entry = NextQueued(now, machine, *used);
   if (!entry) return false;
   const int task = entry->tasks.front().task;
   entry->tasks.pop_front();
-  StartTask(now, m, entry->job, task, used, orders);
+  StartTask(now, machine, entry->job, task, used, commands);
   return true;
 }
 
@@ -196,31 +204,33 @@
     if (t.stage == TaskStage::kQueued && t.bound_at == oldest.bound_at) break;
     job->bound.pop_front();
   }
-  // An unstarted job doesn't wait: where machines come and go its tasks are bound again and again.
+  // No delay for an unstarted job: while machines join and leave, its tasks are rebound repeatedly
+  // and would never have waited long enough.
   const Micros wait = job->IsUnstarted(now, options().age_limit) ? Micros{} : options().rebind_wait;
   return !job->bound.empty() && now - job->bound.front().bound_at >= wait;
 }
 
-bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& m,
+bool Dispatch::CanStartOn(Micros now, const Job& job, const Machine& machine,
                           const Resources& used) const {
-  return Allows(job.spec, *m.type, m.zone, m.spot) && !AvoidsMachine(now, job, m) &&
-         job.spec.need.Fits(RoomFor(m, job, used, now)) && !reconciler().MayStillRun(job) &&
-         usage_accounting().ZoneAllows(job, m.zone);
+  return Allows(job.spec, *machine.type, machine.zone, machine.spot) &&
+         !AvoidsMachine(now, job, machine) &&
+         job.spec.need.Fits(AvailableResourcesFor(machine, job, used, now)) &&
+         !reconciler().MayStillRun(job) && usage_accounting().ZoneAllows(job, machine.zone);
 }
 
-void Dispatch::RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
-                              std::vector<Command>* orders) {
+void Dispatch::RebindAndStart(Micros now, Machine* machine, Job* job, Resources* used,
+                              std::vector<Command>* commands) {
   const int task = job->bound.front().task;
   job->bound.pop_front();
-  m->dispatched_work[static_cast<size_t>(job->bucket)] +=
-      NormalizedWork(job->spec, m->type->size - m->GangUse());
-  StartTask(now, m, job, task, used, orders);
+  machine->dispatched_work[static_cast<size_t>(job->bucket)] +=
+      NormalizedWork(job->spec, machine->type->size - machine->GangUse());
+  StartTask(now, machine, job, task, used, commands);
 }
 
-// Tasks within a guarantee, or of a team below its share, start before the machine's own queue and
-// wherever there is room.
-bool Dispatch::StartPreferred(Micros now, Machine* m, Resources* used,
-                              std::vector<Command>* orders) {
+// Tasks within a guarantee, or of a team below its share, start before the machine's own queue, on
+// any machine where they fit.
+bool Dispatch::StartPreferred(Micros now, Machine* machine, Resources* used,
+                              std::vector<Command>* commands) {
   const auto order = [](const Job* j) {
     return std::make_tuple(j->spec.priority, j->submitted_at);
   };
@@ -231,56 +241,58 @@
       const int precedence = fair_share().ComparePrecedence(*job, *best);
       if (precedence < 0 || (precedence == 0 && order(job) >= order(best))) continue;
     }
-    if (!CanStartOn(now, *job, *m, *used)) continue;
+    if (!CanStartOn(now, *job, *machine, *used)) continue;
     best = job;
   }
   if (!best) return false;
-  RebindAndStart(now, m, best, used, orders);
+  RebindAndStart(now, machine, best, used, commands);
   return true;
 }
 
-// A task that has waited long in another machine's queue moves to this one, which has room.
-bool Dispatch::StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders) {
+// Moves a task that has waited long in another machine's queue to this machine, where it fits.
+bool Dispatch::StartRebound(Micros now, Machine* machine, Resources* used,
+                            std::vector<Command>* commands) {
   const auto order = [&](const Job* j) {
     return std::make_tuple(-StartPriority(now, *j), j->spec.priority, j->spec.estimated_runtime);
   };
   Job* best = nullptr;
-  for (auto& [id, ptr] : job_table().jobs()) {
-    Job* job = ptr.get();
+  for (auto& [id, owned_job] : job_table().jobs()) {
+    Job* job = owned_job.get();
     if (!HasRebindableTask(now, job) || !quota_checker().Allows(*job, 1)) continue;
     const int precedence = best ? fair_share().ComparePrecedence(*job, *best) : 1;
     if (precedence < 0 || (precedence == 0 && order(best) <= order(job))) continue;
-    if (!CanStartOn(now, *job, *m, *used)) continue;
+    if (!CanStartOn(now, *job, *machine, *used)) continue;
     best = job;
   }
   if (!best) return false;
-  RebindAndStart(now, m, best, used, orders);
+  RebindAndStart(now, machine, best, used, commands);
   return true;
 }
 
-// A job that can still meet its deadline avoids machines that may be cleared for gangs: a stopped
-// task starts over, and a deadline seldom leaves time for that.
-bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& m) const {
+// A job that can still meet its deadline avoids machines that gangs may preempt: a preempted task
+// starts over, and a deadline seldom leaves time for that.
+bool Dispatch::AvoidsMachine(Micros now, const Job& job, const Machine& machine) const {
   return job.spec.deadline &&
          now < job.submitted_at + *job.spec.deadline -
                    job.spec.estimated_runtime.Scaled(kDeadlineEstimateFactor) &&
-         scaler().MayBePreemptedByGangs(job.spec, *m.type, m.zone, m.spot, now);
+         scaler().MayBePreemptedByGangs(job.spec, *machine.type, machine.zone, machine.spot, now);
 }
 
 void Dispatch::Bind(Micros now, Job* job, int task, const EligibleMachine& eligible) {
-  Machine* m = eligible.machine;
+  Machine* machine = eligible.machine;
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   t.stage = TaskStage::kQueued;
-  t.machine = m;
+  t.machine = machine;
   t.bound_at = now;
   ++job->queued;
   job->bound.push_back({task, now});
-  m->dispatched_work[static_cast<size_t>(job->bucket)] += NormalizedWork(job->spec, eligible.open);
+  machine->dispatched_work[static_cast<size_t>(job->bucket)] +=
+      NormalizedWork(job->spec, eligible.open);
   QueueEntry& entry =
-      m->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
+      machine->queue[QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id}];
   entry.job = job;
   entry.tasks.push_back({task, now});
-  m->idle_since = {-1};
+  machine->idle_since = {-1};
 }
 
 void Dispatch::RefillBindBudget(Micros now) {
@@ -296,8 +308,9 @@
 
 std::vector<Dispatch::ReadyMachine> Dispatch::ReadyMachines(Micros now) const {
   std::vector<ReadyMachine> ready;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (machine_table().IsReady(*m, now)) ready.push_back({m.get(), m->GangUse()});
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (machine_table().IsReady(*machine, now))
+      ready.push_back({machine.get(), machine->GangUse()});
   }
   return ready;
 }
@@ -305,12 +318,13 @@
 std::vector<EligibleMachine> Dispatch::EligibleMachines(
     Micros now, const Job& job, const std::vector<ReadyMachine>& ready) const {
   std::vector<EligibleMachine> eligible;
-  for (const auto& [m, gang_use] : ready) {
-    if (!Allows(job.spec, *m->type, m->zone, m->spot)) continue;
-    if (!usage_accounting().ZoneAllows(job, m->zone) || AvoidsMachine(now, job, *m)) continue;
-    const Resources open = RoomFor(*m, job, gang_use, now);
+  for (const auto& [machine, gang_use] : ready) {
+    if (!Allows(job.spec, *machine->type, machine->zone, machine->spot)) continue;
+    if (!usage_accounting().ZoneAllows(job, machine->zone) || AvoidsMachine(now, job, *machine))
+      continue;
+    const Resources open = AvailableResourcesFor(*machine, job, gang_use, now);
     if (!job.spec.need.Fits(open)) continue;
-    eligible.push_back({m, open});
+    eligible.push_back({machine, open});
   }
   return eligible;
 }
@@ -330,13 +344,13 @@
 void Dispatch::BindWaiting(Micros now) {
   RefillBindBudget(now);
   const JobTable::Jobs& jobs = job_table().jobs();
-  std::optional<std::vector<ReadyMachine>> ready;  // found once, and only if something is bound
+  std::optional<std::vector<ReadyMachine>> ready;  // computed once, when the first job needs it
   auto it = jobs.upper_bound(last_bound_job_);
   for (size_t n = 0; n < jobs.size() && bind_budget_ > 0; ++n, ++it) {
     if (it == jobs.end()) it = jobs.begin();
     last_bound_job_ = it->first;
     Job* job = it->second.get();
-    EndDelays(now, job);
+    RequeueDelayedTasks(now, job);
     if (!NeedsBinding(now, *job)) continue;
     if (!ready) {
       bind_budget_ -= static_cast<double>(machine_table().machines().size());
@@ -349,8 +363,8 @@
 }
 
 void Dispatch::Unbind(Job* job) {
-  for (const auto& [id, m] : machine_table().machines()) {
-    m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
+  for (const auto& [id, machine] : machine_table().machines()) {
+    machine->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
   }
   for (int i = 0; i < job->spec.tasks; ++i) {
     TaskState& t = job->tasks[static_cast<size_t>(i)];
@@ -363,10 +377,10 @@
   job->bound.clear();
 }
 
-void Dispatch::Unbind(Machine* m) {
-  for (auto& [key, entry] : m->queue) {
+void Dispatch::Unbind(Machine* machine) {
+  for (auto& [key, entry] : machine->queue) {
     for (auto it = entry.tasks.rbegin(); it != entry.tasks.rend(); ++it) {
-      if (!IsCurrent(*it, *entry.job, m)) continue;
+      if (!IsCurrent(*it, *entry.job, machine)) continue;
       TaskState& t = entry.job->tasks[static_cast<size_t>(it->task)];
       t.stage = TaskStage::kWaiting;
       t.machine = nullptr;
@@ -374,7 +388,7 @@
       entry.job->waiting.push_front(it->task);
     }
   }
-  m->queue.clear();
+  machine->queue.clear();
 }
 
 }  // namespace badgershore
--- a/src/core/leader/dispatch.h
+++ b/src/core/leader/dispatch.h
@@ -20,21 +20,22 @@
  public:
   using LeaderComponent::LeaderComponent;
 
-  // Binds waiting tasks, job by job in turns, as far as the budget for looking at machines goes;
-  // the rest is bound by later calls.
+  // Binds waiting tasks, job by job in round-robin order, within the budget for examining machines.
+  // Later calls bind the rest.
   void BindWaiting(Micros now);
-  // Holds a machine for one unstarted job of each team: its room is left free until the job's first
-  // task has started there.
+  // Holds a machine for one unstarted job of each team. Its free resources are kept until the job's
+  // first task has started there.
   void HoldMachinesForUnstartedJobs(Micros now);
-  // Starts on the machine what has room there, and appends the start commands to `orders`.
-  void StartTasksOn(Micros now, Machine* m, std::vector<Command>* orders);
+  // Starts the tasks that fit on the machine and appends their start commands to `commands`.
+  void StartTasksOn(Micros now, Machine* machine, std::vector<Command>* commands);
   // Returns all tasks in the machine's queue to their jobs' waiting tasks.
-  void Unbind(Machine* m);
-  // Returns the job's queued tasks, on whatever machine, to its waiting tasks.
+  void Unbind(Machine* machine);
+  // Returns the job's queued tasks, on all machines, to its waiting tasks.
   void Unbind(Job* job);
-  // The resources of the machine that the job may use while `used` is taken: without what is held
-  // or reserved there for others that go before it.
-  Resources RoomFor(const Machine& m, const Job& job, const Resources& used, Micros now) const;
+  // The machine's resources that the job may use while `used` is in use. Excludes what is held or
+  // reserved there for jobs that go before it.
+  Resources AvailableResourcesFor(const Machine& machine, const Job& job, const Resources& used,
+                                  Micros now) const;
 
  private:
   struct ReadyMachine {
@@ -50,28 +51,30 @@
                                                 const std::vector<ReadyMachine>& ready) const;
   void BindTasks(Micros now, Job* job, const std::vector<EligibleMachine>& eligible);
   void Bind(Micros now, Job* job, int task, const EligibleMachine& eligible);
-  bool AvoidsMachine(Micros now, const Job& job, const Machine& m) const;
+  bool AvoidsMachine(Micros now, const Job& job, const Machine& machine) const;
 
   // Holding machines.
   std::map<int, Job*> OldestUnstartedJobs(Micros now) const;
   Machine* MachineToHold(Micros now, const Job& job) const;
 
-  // Starting. The Start... calls start one task, or return false.
-  bool StartPreferred(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  bool StartQueued(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  bool StartRebound(Micros now, Machine* m, Resources* used, std::vector<Command>* orders);
-  QueueEntry* NextQueued(Micros now, Machine* m, const Resources& used);
+  // Starting. StartPreferred(), StartQueued() and StartRebound() start one task each, or return
+  // false.
+  bool StartPreferred(Micros now, Machine* machine, Resources* used,
+                      std::vector<Command>* commands);
+  bool StartQueued(Micros now, Machine* machine, Resources* used, std::vector<Command>* commands);
+  bool StartRebound(Micros now, Machine* machine, Resources* used, std::vector<Command>* commands);
+  QueueEntry* NextQueued(Micros now, Machine* machine, const Resources& used);
   int StartPriority(Micros now, const Job& job) const;
   bool StartsBefore(Micros now, const Job& a, const Job& b) const;
   bool HasRebindableTask(Micros now, Job* job) const;
-  bool CanStartOn(Micros now, const Job& job, const Machine& m, const Resources& used) const;
-  void RebindAndStart(Micros now, Machine* m, Job* job, Resources* used,
-                      std::vector<Command>* orders);
-  void StartTask(Micros now, Machine* m, Job* job, int task, Resources* used,
-                 std::vector<Command>* orders);
+  bool CanStartOn(Micros now, const Job& job, const Machine& machine, const Resources& used) const;
+  void RebindAndStart(Micros now, Machine* machine, Job* job, Resources* used,
+                      std::vector<Command>* commands);
+  void StartTask(Micros now, Machine* machine, Job* job, int task, Resources* used,
+                 std::vector<Command>* commands);
 
   Micros next_hold_at_;
-  double bind_budget_ = 0;  // machines that may be looked at
+  double bind_budget_ = 0;  // machines that binding may still examine
   Micros bind_budget_at_;   // when the budget was last refilled
   std::string last_bound_job_;
 };
--- a/src/core/leader/fair_share.cpp
+++ b/src/core/leader/fair_share.cpp
@@ -15,21 +15,21 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kInterval = Millis(500);
+constexpr Micros kUpdateInterval = Millis(500);
 constexpr Micros kPreemptionWindow = Seconds(60);
-// Covers the wait for a report of the machine after the preemption.
+// Long enough for the machine's next heartbeat after the preemption.
 constexpr Micros kHoldDuration = Seconds(12);
 
-// The cost of preempting a task that checkpoints; others cost this much and what they have run.
+// Cost of preempting a task with checkpoints, and of one without, which also loses its run time.
 constexpr double kCheckpointedCost = 0.1;
 constexpr double kLostTaskCost = 1;
 
-double Fraction(int64_t used, int64_t all) {
-  return all > 0 ? static_cast<double>(used) / static_cast<double>(all) : 0;
+double Fraction(int64_t used, int64_t total) {
+  return total > 0 ? static_cast<double>(used) / static_cast<double>(total) : 0;
 }
 
 struct Victim {
-  bool loses_run;  // it doesn't checkpoint
+  bool loses_run;  // writes no checkpoints
   Micros ran;
   Allocation* allocation;
 
@@ -50,9 +50,9 @@
 int FairShare::ComparePrecedence(const Job& a, const Job& b) const {
   if (a.IsGuaranteed() != b.IsGuaranteed()) return a.IsGuaranteed() ? 1 : -1;
   if (a.team == b.team || a.team < 0 || b.team < 0 || a.spec.priority != b.spec.priority) return 0;
-  const bool over_a = shares_[static_cast<size_t>(a.team)].over;
-  const bool over_b = shares_[static_cast<size_t>(b.team)].over;
-  return over_a == over_b ? 0 : over_b ? 1 : -1;
+  const bool a_above_share = shares_[static_cast<size_t>(a.team)].above_share;
+  const bool b_above_share = shares_[static_cast<size_t>(b.team)].above_share;
+  return a_above_share == b_above_share ? 0 : b_above_share ? 1 : -1;
 }
 
 bool FairShare::ExceedsGuaranteeWithout(int team, const Resources& resources) const {
@@ -70,23 +70,23 @@
 
 void FairShare::Tick(Micros now) {
   if (shares_.size() < 2 || now < next_tick_at_) return;
-  next_tick_at_ = now + kInterval;
+  next_tick_at_ = now + kUpdateInterval;
   for (Resources& r : stopping_) r = {};
   ReleaseExpiredHolds(now);
   UpdateShares(now);
   const std::vector<Job*> jobs = JobsShortOfGuarantee(now);
   if (jobs.empty() || !election()->MayStart(now)) return;
-  CountStopping();
+  CountStoppingTasks();
   for (Job* job : jobs) ReclaimGuarantee(now, job);
 }
 
 void FairShare::ReleaseExpiredHolds(Micros now) {
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for && now >= m->held_until) m->held_for = nullptr;
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->held_for && now >= machine->held_until) machine->held_for = nullptr;
   }
 }
 
-// Those that have waited long enough for preemption, oldest first.
+// The jobs that have waited long enough for their guarantee to justify preemption, oldest first.
 std::vector<Job*> FairShare::JobsShortOfGuarantee(Micros now) const {
   std::vector<Job*> jobs;
   for (Job* job : preferred_jobs_) {
@@ -99,40 +99,40 @@
   return jobs;
 }
 
-void FairShare::CountStopping() {
-  for (const auto& [id, m] : machine_table().machines()) {
-    for (const auto& [key, o] : m->allocations) {
-      if (!o.stop_requested || o.exited() || o.team < 0) continue;
-      Resources& r = stopping_[static_cast<size_t>(o.team)];
-      r = r + o.need;
+void FairShare::CountStoppingTasks() {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    for (const auto& [key, allocation] : machine->allocations) {
+      if (!allocation.stop_requested || allocation.exited() || allocation.team < 0) continue;
+      Resources& r = stopping_[static_cast<size_t>(allocation.team)];
+      r = r + allocation.need;
     }
   }
 }
 
 void FairShare::UpdateShares(Micros now) {
   Resources capacity;
-  const bool crowded = IsCrowded(now, &capacity);
+  const bool contended = IsContended(now, &capacity);
   const ShareSum sum = SumShares(capacity);
-  const bool any_over = MarkTeamsOver(sum, crowded);
-  ListPreferredJobs(sum, any_over);
+  const bool any_above_share = MarkTeamsAboveShare(sum, contended);
+  ListPreferredJobs(sum, any_above_share);
 }
 
-// Whether there is not room for all that could start: shares count only then. Resets the teams'
-// shares and notes which teams have something to start.
-bool FairShare::IsCrowded(Micros now, Resources* capacity) {
+// Whether the tasks that could start need more than the free resources; shares apply only then.
+// Resets the teams' shares and records which teams have tasks to start.
+bool FairShare::IsContended(Micros now, Resources* capacity) {
   Resources free;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now)) continue;
-    *capacity = *capacity + m->type->size;
-    free = free + (m->type->size - m->Used());
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now)) continue;
+    *capacity = *capacity + machine->type->size;
+    free = free + (machine->type->size - machine->Used());
   }
   Resources wanted;
   for (Share& s : shares_) s = {};
   for (const auto& [id, job] : job_table().jobs()) {
     const int open = job->WantedTasks() - job->placed;
     if (open <= 0 || job->finishing || job->team < 0) continue;
-    if (!quota_checker().Allows(*job, 1)) continue;  // it waits for its own team
-    shares_[static_cast<size_t>(job->team)].wants = true;
+    if (!quota_checker().Allows(*job, 1)) continue;  // blocked by its own team's limit
+    shares_[static_cast<size_t>(job->team)].has_startable_tasks = true;
     wanted = wanted + job->spec.need.Times(open);
   }
   return wanted.cpu > free.cpu || wanted.mem > free.mem || wanted.gpu > free.gpu;
@@ -146,82 +146,85 @@
         std::max({Fraction(used.cpu, capacity.cpu), Fraction(used.gpu, capacity.gpu),
                   Fraction(used.mem, capacity.mem)});
     sum.dominant += shares_[i].dominant;
-    sum.active += shares_[i].wants || shares_[i].dominant > 0;
+    sum.active += shares_[i].has_startable_tasks || shares_[i].dominant > 0;
   }
   return sum;
 }
 
-bool FairShare::MarkTeamsOver(const ShareSum& sum, bool crowded) {
-  bool any_over = false;
+bool FairShare::MarkTeamsAboveShare(const ShareSum& sum, bool contended) {
+  bool any_above_share = false;
   for (Share& s : shares_) {
-    s.over =
-        crowded && sum.active > 1 && s.dominant > options().fair_margin * sum.dominant / sum.active;
-    any_over |= s.over;
+    s.above_share = contended && sum.active > 1 &&
+                    s.dominant > options().fair_margin * sum.dominant / sum.active;
+    any_above_share |= s.above_share;
   }
-  return any_over;
+  return any_above_share;
 }
 
-void FairShare::ListPreferredJobs(const ShareSum& sum, bool any_over) {
+void FairShare::ListPreferredJobs(const ShareSum& sum, bool any_above_share) {
   preferred_jobs_.clear();
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->IsGang() || job->team < 0 || job->WantedTasks() == job->placed || job->finishing)
       continue;
     const Share& s = shares_[static_cast<size_t>(job->team)];
-    const bool under = any_over && s.dominant * sum.active < sum.dominant;
-    if (job->IsGuaranteed() || under) preferred_jobs_.push_back(job.get());
+    const bool below_share = any_above_share && s.dominant * sum.active < sum.dominant;
+    if (job->IsGuaranteed() || below_share) preferred_jobs_.push_back(job.get());
   }
 }
 
-// What has to be preempted on the machine for `tasks` of the job, or as many as can be; false: not
-// even one can be placed.
-bool FairShare::PlanOn(Micros now, Machine* m, const Job& job, int tasks,
-                       PreemptionOption* out) const {
-  Resources room = dispatch().RoomFor(*m, job, m->Used(), now);
+// Finds the tasks to preempt on the machine so that `tasks` tasks of the job fit, or as many as
+// possible. Returns false if not even one fits.
+bool FairShare::PlanPreemption(Micros now, Machine* machine, const Job& job, int tasks,
+                               PreemptionOption* option) const {
+  Resources room = dispatch().AvailableResourcesFor(*machine, job, machine->Used(), now);
   std::vector<Victim> victims;
-  for (auto& [key, o] : m->allocations) {
-    if (o.exited()) continue;
-    if (o.stop_requested) {
-      room = room + o.need;
-    } else if (o.job && o.team != job.team && !o.job->IsGang() && !o.job->IsService() &&
-               ExceedsGuaranteeWithout(o.team, o.need)) {
-      const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
-      victims.push_back({o.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &o});
+  for (auto& [key, allocation] : machine->allocations) {
+    if (allocation.exited()) continue;
+    if (allocation.stop_requested) {
+      room = room + allocation.need;
+    } else if (allocation.job && allocation.team != job.team && !allocation.job->IsGang() &&
+               !allocation.job->IsService() &&
+               ExceedsGuaranteeWithout(allocation.team, allocation.need)) {
+      const TaskState& t = allocation.job->tasks[static_cast<size_t>(allocation.ref.task)];
+      victims.push_back(
+          {allocation.job->spec.checkpoint_interval.count == 0, now - t.bound_at, &allocation});
     }
   }
   std::sort(victims.begin(), victims.end(), [](const Victim& a, const Victim& b) {
     return std::tie(a.loses_run, a.ran) < std::tie(b.loses_run, b.ran);
   });
-  out->machine = m;
+  option->machine = machine;
   for (const Victim& victim : victims) {
     if (room.Holds(job.spec.need) >= tasks) break;
     room = room + victim.allocation->need;
-    out->victims.push_back(victim.allocation);
-    out->cost += victim.Cost();
+    option->victims.push_back(victim.allocation);
+    option->cost += victim.Cost();
   }
-  out->tasks = static_cast<int>(std::min<int64_t>(room.Holds(job.spec.need), tasks));
-  // Victims that did not make room for one more task are spared.
-  while (!out->victims.empty()) {
-    const Resources less = room - out->victims.back()->need;
-    if (less.Holds(job.spec.need) < out->tasks) break;
+  option->tasks = static_cast<int>(std::min<int64_t>(room.Holds(job.spec.need), tasks));
+  // Drops victims whose preemption doesn't let one more task fit.
+  while (!option->victims.empty()) {
+    const Resources less = room - option->victims.back()->need;
+    if (less.Holds(job.spec.need) < option->tasks) break;
     room = less;
-    out->victims.pop_back();
+    option->victims.pop_back();
   }
-  if (out->tasks > 0) out->cost /= out->tasks;
-  return out->tasks > 0;
+  if (option->tasks > 0) option->cost /= option->tasks;
+  return option->tasks > 0;
 }
 
 // Cheapest first.
 std::vector<FairShare::PreemptionOption> FairShare::FindOptions(Micros now, const Job& job,
                                                                 int tasks) const {
   std::vector<PreemptionOption> found;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now) || m->held_for || m->reserved_for) continue;
-    if (!Allows(job.spec, *m->type, m->zone, m->spot) ||
-        !usage_accounting().ZoneAllows(job, m->zone)) {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now) || machine->held_for || machine->reserved_for)
+      continue;
+    if (!Allows(job.spec, *machine->type, machine->zone, machine->spot) ||
+        !usage_accounting().ZoneAllows(job, machine->zone)) {
       continue;
     }
     PreemptionOption option;
-    if (PlanOn(now, m.get(), job, tasks, &option)) found.push_back(std::move(option));
+    if (PlanPreemption(now, machine.get(), job, tasks, &option)) found.push_back(std::move(option));
   }
   std::stable_sort(
       found.begin(), found.end(),
@@ -229,18 +232,19 @@
   return found;
 }
 
-// Tasks that the guarantee is short of and that no machine is held for.
+// The number of tasks within the guarantee that are neither placed nor have a machine held for
+// them.
 int FairShare::MissingTasks(const Job& job) const {
   int missing = std::min(job.tasks_within_guarantee, job.remaining()) - job.placed;
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (m->held_for == &job) missing -= m->held_tasks;
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (machine->held_for == &job) missing -= machine->held_tasks;
   }
   return missing;
 }
 
-// Holds room for the tasks that the guarantee is short of, and preempts what other teams run beyond
-// theirs where there is none. The team that reclaims stays within its guarantee and the others keep
-// theirs, so that no two teams preempt each other in turns.
+// Holds resources for the job's tasks that are missing from the guarantee. Where none are free,
+// preempts tasks of teams above their own guarantee. The reclaiming team stays within its guarantee
+// and the others keep theirs, so two teams can't preempt each other in turns.
 void FairShare::ReclaimGuarantee(Micros now, Job* job) {
   int missing = MissingTasks(*job);
   if (missing <= 0 || reconciler().MayStillRun(*job) || !quota_checker().Allows(*job, 1)) return;
@@ -250,7 +254,7 @@
   for (const PreemptionOption& option : FindOptions(now, *job, missing)) {
     if (missing <= 0) break;
     const int tasks = std::min(option.tasks, missing);
-    if (!Execute(now, job, option, tasks)) continue;
+    if (!ExecutePreemption(now, job, option, tasks)) continue;
     stopped += static_cast<int>(option.victims.size());
     held += tasks;
     missing -= tasks;
@@ -262,28 +266,29 @@
   }
 }
 
-// False, and nothing is done, where the option would preempt too much.
-bool FairShare::Execute(Micros now, Job* job, const PreemptionOption& option, int tasks) {
+// Returns false, without any effect, if the option would preempt too much.
+bool FairShare::ExecutePreemption(Micros now, Job* job, const PreemptionOption& option, int tasks) {
   int64_t cpu = 0;
   Micros longest_checkpoint;
-  for (const Allocation* o : option.victims) {
-    cpu += o->need.cpu;
-    // Another option may have used up what the team has beyond its guarantee.
-    if (!ExceedsGuaranteeWithout(o->team, o->need)) return false;
-    longest_checkpoint = std::max(longest_checkpoint, o->job->spec.checkpoint_duration);
+  for (const Allocation* allocation : option.victims) {
+    cpu += allocation->need.cpu;
+    // An earlier option may already have preempted all that the team uses above its guarantee.
+    if (!ExceedsGuaranteeWithout(allocation->team, allocation->need)) return false;
+    longest_checkpoint = std::max(longest_checkpoint, allocation->job->spec.checkpoint_duration);
   }
-  const int64_t most =
+  const int64_t max_cpu =
       std::max(job->spec.need.cpu,
                static_cast<int64_t>(static_cast<double>(quota_checker().Guarantee(job->team).cpu) *
                                     options().reclaim_share));
   PreemptedCpu& preempted = preempted_[static_cast<size_t>(job->team)];
-  if (cpu > 0 && preempted.cpu + cpu > most) return false;
-  for (Allocation* o : option.victims) {
-    o->stop_requested = true;
-    o->grace_period =
-        o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
-    Resources& r = stopping_[static_cast<size_t>(o->team)];
-    r = r + o->need;
+  if (cpu > 0 && preempted.cpu + cpu > max_cpu) return false;
+  for (Allocation* allocation : option.victims) {
+    allocation->stop_requested = true;
+    allocation->grace_period = allocation->job->spec.checkpoint_interval.count > 0
+                                   ? allocation->job->spec.checkpoint_duration
+                                   : Micros{};
+    Resources& r = stopping_[static_cast<size_t>(allocation->team)];
+    r = r + allocation->need;
   }
   preempted.cpu += cpu;
   option.machine->held_for = job;
--- a/src/core/leader/gang_placement.cpp
+++ b/src/core/leader/gang_placement.cpp
@@ -31,10 +31,10 @@
   const std::vector<int> members = WaitingMembers(*gang);
   if (members.empty() || !quota_checker().Allows(*gang, static_cast<int>(members.size())))
     return false;
-  if (gang->gang_attempt != 0 && AwaitsOldAttempt(now, *gang, members)) return false;
+  if (gang->gang_attempt != 0 && IsOldAttemptListed(now, *gang, members)) return false;
   for (const std::string& zone : CandidateZones(gang->spec, settings())) {
     const std::vector<Machine*> chosen =
-        ChooseMachines(*gang, members.size(), FindRooms(now, *gang, zone));
+        ChooseMachines(*gang, members.size(), MachinesWithRoom(now, *gang, zone));
     if (chosen.size() != members.size()) continue;
     if (gang->gang_attempt == 0) gang->gang_attempt = usage_accounting().NextAttempt();
     for (size_t k = 0; k < members.size(); ++k) {
@@ -51,38 +51,42 @@
   return false;
 }
 
-// A member that left a gang still gathering (`alone`, refused) is replaced under the same attempt.
-// Its machine can't take it again before its worker has forgotten that attempt: a start would do
-// nothing there, and the new member would be counted under the exited allocation. Placement waits
-// for that, because another machine would have to fetch the image first.
-bool GangPlacement::AwaitsOldAttempt(Micros now, const Job& gang,
-                                     const std::vector<int>& members) const {
-  for (const auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now)) continue;
+// Whether a ready machine still lists the current attempt of a member that waits to be placed
+// again. A member that leaves a gang before all members have started (`alone`, or its start was
+// rejected) is replaced under the same attempt. Its machine can't take the replacement until the
+// agent has forgotten that attempt: a start would have no effect there, and the new member would be
+// counted under the exited allocation. Placement waits for that, because any other machine would
+// have to fetch the image first.
+bool GangPlacement::IsOldAttemptListed(Micros now, const Job& gang,
+                                       const std::vector<int>& members) const {
+  for (const auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now)) continue;
     for (int task : members) {
-      if (m->allocations.contains({{gang.spec.id, task}, gang.gang_attempt})) return true;
+      if (machine->allocations.contains({{gang.spec.id, task}, gang.gang_attempt})) return true;
     }
   }
   return false;
 }
 
-// What the machines of the zone (empty: of all) have free for the gang.
-std::vector<GangPlacement::MachineRoom> GangPlacement::FindRooms(Micros now, const Job& gang,
-                                                                 const std::string& zone) const {
+// The resources that the zone's machines have free for the gang. An empty `zone` means all zones.
+std::vector<GangPlacement::MachineRoom> GangPlacement::MachinesWithRoom(
+    Micros now, const Job& gang, const std::string& zone) const {
   std::vector<MachineRoom> rooms;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot))
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now) ||
+        !Allows(gang.spec, *machine->type, machine->zone, machine->spot))
       continue;
-    if (!zone.empty() && m->zone != zone) continue;
-    if (!usage_accounting().ZoneAllows(gang, m->zone)) continue;
-    if (m->reserved_for && m->reserved_for != &gang) continue;
-    rooms.push_back({m.get(), dispatch().RoomFor(*m, gang, m->Used(), now)});
+    if (!zone.empty() && machine->zone != zone) continue;
+    if (!usage_accounting().ZoneAllows(gang, machine->zone)) continue;
+    if (machine->reserved_for && machine->reserved_for != &gang) continue;
+    rooms.push_back(
+        {machine.get(), dispatch().AvailableResourcesFor(*machine, gang, machine->Used(), now)});
   }
   return rooms;
 }
 
-// One machine for each member, best first: where the gang has not failed, where its image is, and
-// the tightest fit. Fewer than `members` where the room ends.
+// One machine for each member. Prefers machines where the gang has not failed, then machines that
+// have its image, then the tightest fit. Returns fewer than `members` if not all members fit.
 std::vector<Machine*> GangPlacement::ChooseMachines(const Job& gang, size_t members,
                                                     std::vector<MachineRoom> rooms) const {
   const auto score = [&](const MachineRoom& r) {
--- a/src/core/leader/gang_preemption.cpp
+++ b/src/core/leader/gang_preemption.cpp
@@ -14,14 +14,16 @@
 namespace badgershore {
 namespace {
 
-// Time that a checkpointed task needs until it runs again: a new machine and its image.
+// Time until a checkpointed task runs again, which includes finding a machine and fetching the
+// image.
 constexpr Micros kRestartTime = Seconds(30);
 
-// Waiting for a task that may not be preempted costs more than any preemption.
+// Cost of waiting for the end of a task that may not be preempted; higher than that of any
+// preemption.
 constexpr double kWaitForEndCost = 1e4;
 constexpr double kWaitForEndFactor = 100;
 
-// An allocation that may be preempted, and the run time that is lost by it.
+// An allocation that may be preempted, and the run time that its preemption loses.
 struct Victim {
   Micros lost;
   Machine* machine;
@@ -30,70 +32,73 @@
 
 bool LosesLess(const Victim& a, const Victim& b) { return a.lost < b.lost; }
 
-void RequestStop(Allocation* o) {
-  o->stop_requested = true;
-  o->grace_period =
-      o->job->spec.checkpoint_interval.count > 0 ? o->job->spec.checkpoint_duration : Micros{};
+void RequestStop(Allocation* allocation) {
+  allocation->stop_requested = true;
+  allocation->grace_period = allocation->job->spec.checkpoint_interval.count > 0
+                                 ? allocation->job->spec.checkpoint_duration
+                                 : Micros{};
 }
 
 }  // namespace
 
-bool GangPreemption::MayPreempt(const Allocation& o, const Job& gang) const {
-  if (!o.job || o.job->IsGang()) return false;
-  if (o.job->spec.priority > gang.spec.priority) return true;
-  // A team's guarantee comes before what other teams use beyond theirs.
-  return gang.IsGuaranteed() && o.team != gang.team && !o.job->IsService() &&
-         fair_share().ExceedsGuaranteeWithout(o.team, o.need);
+bool GangPreemption::MayPreempt(const Allocation& allocation, const Job& gang) const {
+  if (!allocation.job || allocation.job->IsGang()) return false;
+  if (allocation.job->spec.priority > gang.spec.priority) return true;
+  // A team's guarantee takes precedence over other teams' use above their guarantees.
+  return gang.IsGuaranteed() && allocation.team != gang.team && !allocation.job->IsService() &&
+         fair_share().ExceedsGuaranteeWithout(allocation.team, allocation.need);
 }
 
-// A task that checkpoints loses only the time of saving and restarting.
-Micros GangPreemption::LostRunTime(Micros now, const Allocation& o) const {
-  const Micros ran =
-      std::max(Micros{}, now - o.job->tasks[static_cast<size_t>(o.ref.task)].bound_at);
-  if (o.job->spec.checkpoint_interval.count == 0) return ran;
-  return std::min(ran, o.job->spec.checkpoint_duration + kRestartTime);
+// A task with checkpoints loses only the time that a checkpoint and a restart take.
+Micros GangPreemption::LostRunTime(Micros now, const Allocation& allocation) const {
+  const Micros ran = std::max(
+      Micros{}, now - allocation.job->tasks[static_cast<size_t>(allocation.ref.task)].bound_at);
+  if (allocation.job->spec.checkpoint_interval.count == 0) return ran;
+  return std::min(ran, allocation.job->spec.checkpoint_duration + kRestartTime);
 }
 
-std::optional<double> GangPreemption::CostToClear(Micros now, const Machine& m, const Job& gang,
-                                                  bool after_gangs) const {
-  Resources kept = after_gangs ? Resources{} : m.GangUse();
+std::optional<double> GangPreemption::CostToClear(Micros now, const Machine& machine,
+                                                  const Job& gang, bool after_gangs) const {
+  Resources kept = after_gangs ? Resources{} : machine.GangUse();
   double cost = 0;
-  for (const auto& [key, o] : m.allocations) {
-    if (o.exited() || (!after_gangs && o.job && o.job->IsGang())) continue;
-    const auto cpu = static_cast<double>(o.need.cpu) / 1000;
-    if (!o.job) {
-      kept = kept + o.need;  // its job is over; it is being stopped
+  for (const auto& [key, allocation] : machine.allocations) {
+    if (allocation.exited() || (!after_gangs && allocation.job && allocation.job->IsGang()))
+      continue;
+    const auto cpu = static_cast<double>(allocation.need.cpu) / 1000;
+    if (!allocation.job) {
+      kept = kept + allocation.need;  // its job has ended, and it is being stopped
       continue;
     }
-    const TaskState& t = o.job->tasks[static_cast<size_t>(o.ref.task)];
+    const TaskState& t = allocation.job->tasks[static_cast<size_t>(allocation.ref.task)];
     const double ran = std::max(0.0, (now - t.bound_at).ToSeconds());
-    if (MayPreempt(o, gang)) {
-      cost += LostRunTime(now, o).ToSeconds() * cpu;
-    } else if (o.job->IsService()) {
-      kept = kept + o.need;
+    if (MayPreempt(allocation, gang)) {
+      cost += LostRunTime(now, allocation).ToSeconds() * cpu;
+    } else if (allocation.job->IsService()) {
+      kept = kept + allocation.need;
     } else {
-      cost += kWaitForEndCost + kWaitForEndFactor * cpu *
-                                    std::max(1.0, o.job->spec.estimated_runtime.ToSeconds() - ran);
+      cost += kWaitForEndCost +
+              kWaitForEndFactor * cpu *
+                  std::max(1.0, allocation.job->spec.estimated_runtime.ToSeconds() - ran);
     }
   }
-  if (!gang.spec.need.Fits(m.type->size - kept)) return std::nullopt;
-  if (!m.HasImage(gang.spec.image) && m.type->fetch_gb_per_s > 0) {
-    cost += gang.spec.image_gb / m.type->fetch_gb_per_s * static_cast<double>(gang.spec.need.cpu) /
-            1000;
+  if (!gang.spec.need.Fits(machine.type->size - kept)) return std::nullopt;
+  if (!machine.HasImage(gang.spec.image) && machine.type->fetch_gb_per_s > 0) {
+    cost += gang.spec.image_gb / machine.type->fetch_gb_per_s *
+            static_cast<double>(gang.spec.need.cpu) / 1000;
   }
   return cost;
 }
 
-void GangPreemption::PreemptForGang(Micros now, Machine* m, const Job& gang) {
-  const Resources need = gang.spec.need.Times(m->reserved_members);
-  Resources room = m->type->size - m->Used();
+void GangPreemption::PreemptForGang(Micros now, Machine* machine, const Job& gang) {
+  const Resources need = gang.spec.need.Times(machine->reserved_members);
+  Resources room = machine->type->size - machine->Used();
   std::vector<Victim> victims;
-  for (auto& [key, o] : m->allocations) {
-    if (o.exited()) continue;
-    if (o.stop_requested) {
-      room = room + o.need;
-    } else if (MayPreempt(o, gang)) {
-      victims.push_back({LostRunTime(now, o), m, &o});
+  for (auto& [key, allocation] : machine->allocations) {
+    if (allocation.exited()) continue;
+    if (allocation.stop_requested) {
+      room = room + allocation.need;
+    } else if (MayPreempt(allocation, gang)) {
+      victims.push_back({LostRunTime(now, allocation), machine, &allocation});
     }
   }
   std::sort(victims.begin(), victims.end(), LosesLess);
@@ -101,43 +106,44 @@
   int preempted = 0;
   for (const Victim& victim : victims) {
     if (need.Fits(room)) break;
-    Allocation* o = victim.allocation;
-    RequestStop(o);
+    Allocation* allocation = victim.allocation;
+    RequestStop(allocation);
     ++preempted;
-    room = room + o->need;
-    lost += victim.lost.ToSeconds() * static_cast<double>(o->need.cpu) / 1000;
+    room = room + allocation->need;
+    lost += victim.lost.ToSeconds() * static_cast<double>(allocation->need.cpu) / 1000;
   }
   if (preempted == 0) return;
-  outbox()->Debug("preempted " + std::to_string(preempted) + " tasks on machine " + m->id +
+  outbox()->Debug("preempted " + std::to_string(preempted) + " tasks on machine " + machine->id +
                   " for gang " + gang.spec.id + ", " + std::to_string(static_cast<int>(lost)) +
                   " CPU seconds lost");
-  dispatch().Unbind(m);
-  agent_client().SendStops(m);
+  dispatch().Unbind(machine);
+  agent_client().SendStops(machine);
 }
 
 void GangPreemption::PreemptForQuota(Micros now, const Job& gang) {
-  // What the gang itself claims is not missing.
+  // The gang's own reservation is part of the shortfall already, so its members aren't added again.
   Resources missing = quota_checker().Shortfall(gang, 0);
   std::vector<Victim> victims;
-  for (const auto& [id, m] : machine_table().machines()) {
-    for (auto& [key, o] : m->allocations) {
-      if (o.exited() || o.team != gang.team) continue;
-      if (o.stop_requested) {
-        missing = missing - o.need;
-      } else if (o.job && o.preemptible_priority > static_cast<int>(gang.spec.priority)) {
-        victims.push_back({LostRunTime(now, o), m.get(), &o});
+  for (const auto& [id, machine] : machine_table().machines()) {
+    for (auto& [key, allocation] : machine->allocations) {
+      if (allocation.exited() || allocation.team != gang.team) continue;
+      if (allocation.stop_requested) {
+        missing = missing - allocation.need;
+      } else if (allocation.job &&
+                 allocation.preemptible_priority > static_cast<int>(gang.spec.priority)) {
+        victims.push_back({LostRunTime(now, allocation), machine.get(), &allocation});
       }
     }
   }
   std::stable_sort(victims.begin(), victims.end(), LosesLess);
-  std::map<std::string, Machine*> affected;  // by id: the order of addresses differs between runs
+  std::map<std::string, Machine*> affected;  // by id, since pointer order differs between runs
   for (const Victim& victim : victims) {
     if (missing.cpu <= 0 && missing.gpu <= 0) break;
     RequestStop(victim.allocation);
     missing = missing - victim.allocation->need;
     affected[victim.machine->id] = victim.machine;
   }
-  for (auto& [id, m] : affected) agent_client().SendStops(m);
+  for (auto& [id, machine] : affected) agent_client().SendStops(machine);
 }
 
 }  // namespace badgershore
--- a/src/core/leader/gang_reservations.cpp
+++ b/src/core/leader/gang_reservations.cpp
@@ -11,18 +11,19 @@
 namespace badgershore {
 namespace {
 
-// A machine that is reserved already stays the first choice: its tasks have been stopped.
+// A machine that is already reserved for the gang stays the first choice, since its tasks have
+// already been stopped.
 constexpr double kReservedCost = -1;
 constexpr double kFailedMachinePenalty = 1e6;
 
-// What of the machine the gang's reservation may count on.
-Resources ReservableRoom(const Machine& m, bool prioritized) {
-  return prioritized ? m.type->size : m.type->size - m.GangUse();
+// The part of the machine's resources that the gang's reservation may use.
+Resources ReservableRoom(const Machine& machine, bool prioritized) {
+  return prioritized ? machine.type->size : machine.type->size - machine.GangUse();
 }
 
-int MembersThatFit(const Machine& m, const Job& gang, int missing, bool prioritized) {
+int MembersThatFit(const Machine& machine, const Job& gang, int missing, bool prioritized) {
   return static_cast<int>(
-      std::min<int64_t>(ReservableRoom(m, prioritized).Holds(gang.spec.need), missing));
+      std::min<int64_t>(ReservableRoom(machine, prioritized).Holds(gang.spec.need), missing));
 }
 
 }  // namespace
@@ -51,28 +52,29 @@
   return best;
 }
 
-// The machines of the zone (empty: of all) that may be reserved, cheapest first.
+// The zone's machines that may be reserved, cheapest first. An empty `zone` means all zones.
 std::vector<GangReservations::Candidate> GangReservations::Candidates(Micros now, const Job& gang,
                                                                       const std::string& zone,
                                                                       bool prioritized) const {
   std::vector<Candidate> candidates;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (!machine_table().IsReady(*m, now) || !Allows(gang.spec, *m->type, m->zone, m->spot))
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (!machine_table().IsReady(*machine, now) ||
+        !Allows(gang.spec, *machine->type, machine->zone, machine->spot))
       continue;
-    if (!zone.empty() && m->zone != zone) continue;
-    if (m->reserved_for && m->reserved_for != &gang) continue;
-    std::optional<double> cost = gang_preemption().CostToClear(now, *m, gang, prioritized);
+    if (!zone.empty() && machine->zone != zone) continue;
+    if (machine->reserved_for && machine->reserved_for != &gang) continue;
+    std::optional<double> cost = gang_preemption().CostToClear(now, *machine, gang, prioritized);
     if (!cost) continue;
-    if (m->reserved_for == &gang) *cost = kReservedCost;
-    if (m->failed_jobs.count(gang.spec.id)) *cost += kFailedMachinePenalty;
-    candidates.push_back({m.get(), *cost});
+    if (machine->reserved_for == &gang) *cost = kReservedCost;
+    if (machine->failed_jobs.count(gang.spec.id)) *cost += kFailedMachinePenalty;
+    candidates.push_back({machine.get(), *cost});
   }
   std::sort(candidates.begin(), candidates.end(),
             [](const Candidate& a, const Candidate& b) { return a.cost < b.cost; });
   return candidates;
 }
 
-// The first candidates that hold all missing members together; empty if they can't.
+// The first candidates that together hold all missing members; empty if even all of them can't.
 std::optional<GangReservations::Selection> GangReservations::Select(
     const Job& gang, const std::vector<Candidate>& candidates, bool prioritized) const {
   Selection selection;
@@ -92,26 +94,28 @@
   return selection;
 }
 
-// Returns whether some of the machines are not free of other gangs yet.
+// Returns whether other gangs still use resources of some of the machines that the gang needs.
 bool GangReservations::Reserve(const Selection& selection, const Job& gang, bool prioritized) {
   int members = 0;
   bool after_gangs = false;
   for (const Candidate& c : selection.machines) {
-    Machine* m = c.machine;
-    m->reserved_for = &gang;
-    m->reserved_members = MembersThatFit(*m, gang, gang.remaining() - members, prioritized);
-    members += m->reserved_members;
-    after_gangs |= !gang.spec.need.Times(m->reserved_members).Fits(m->type->size - m->GangUse());
+    Machine* machine = c.machine;
+    machine->reserved_for = &gang;
+    machine->reserved_members =
+        MembersThatFit(*machine, gang, gang.remaining() - members, prioritized);
+    members += machine->reserved_members;
+    after_gangs |= !gang.spec.need.Times(machine->reserved_members)
+                        .Fits(machine->type->size - machine->GangUse());
   }
   return after_gangs;
 }
 
 void GangReservations::ReleaseReservation(Job* gang) {
   if (!std::exchange(gang->has_reservation, false)) return;
-  for (auto& [id, m] : machine_table().machines()) {
-    if (m->reserved_for != gang) continue;
-    m->reserved_for = nullptr;
-    m->reserved_members = 0;
+  for (auto& [id, machine] : machine_table().machines()) {
+    if (machine->reserved_for != gang) continue;
+    machine->reserved_for = nullptr;
+    machine->reserved_members = 0;
   }
 }
 
--- a/src/core/leader/job_table.cpp
+++ b/src/core/leader/job_table.cpp
@@ -16,16 +16,17 @@
 namespace badgershore {
 namespace {
 
-// A cancellation is recorded within this, or its user is told to ask again.
+// A cancellation is recorded within this time, or its user is asked to retry.
 constexpr Micros kCancelPendingTimeout = Seconds(5);
 
-// Half of what users accept.
+// Half of the time without progress that users accept.
 constexpr Micros kStarvationTimeout = Seconds(45);
 
 constexpr int64_t kMaxJobAgeMs = 86400000;
 
-// Run times relative to the estimate between which a task can still meet its objective, if it
-// starts at once: estimates are often wrong by half.
+// Longest and shortest run time that a task is assumed to take, relative to its estimate: estimates
+// are often wrong by half. They bound the window in which the task has to start to meet its
+// objective.
 constexpr double kLongestRunFactor = 1.5;
 constexpr double kShortestRunFactor = 0.8;
 constexpr Micros kStartMargin = Seconds(10);
@@ -68,7 +69,7 @@
   job->spec = spec;
   job->team = quota_checker().TeamIndex(spec.team);
   job->version = version;
-  const int64_t time_of_day_ms = began_ms() + (now - began()).ToMillis();
+  const int64_t time_of_day_ms = term_began_ms() + (now - term_began_at()).ToMillis();
   job->submitted_at =
       now - Millis(std::clamp<int64_t>(time_of_day_ms - spec.submitted_ms, 0, kMaxJobAgeMs));
   job->progressed_at = now;
@@ -85,11 +86,11 @@
 
 void JobTable::SetObjectives(Job* job) const {
   const JobSpec& spec = job->spec;
-  for (const Objective& o : settings().objectives) {
-    if (o.job_class != spec.job_class) continue;
-    const Micros deadline = job->submitted_at + o.within;
-    if (o.kind == "wait") job->start_by = deadline;
-    if (o.kind == "finished" && spec.kind == JobKind::kArray) {
+  for (const Objective& objective : settings().objectives) {
+    if (objective.job_class != spec.job_class) continue;
+    const Micros deadline = job->submitted_at + objective.within;
+    if (objective.kind == "wait") job->start_by = deadline;
+    if (objective.kind == "finished" && spec.kind == JobKind::kArray) {
       job->objective_windows.push_back(
           {deadline - spec.estimated_runtime.Scaled(kLongestRunFactor) - kStartMargin,
            deadline - spec.estimated_runtime.Scaled(kShortestRunFactor)});
@@ -135,12 +136,12 @@
   }
 }
 
-// Takes the job out of everything that points to it.
+// Removes all references to the job.
 void JobTable::DetachJob(Micros now, Job* job) {
-  for (auto& [id, m] : machine_table().machines()) {
-    m->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
-    usage_accounting().DetachJob(m.get(), job);
-    if (m->held_for == job) m->held_for = nullptr;
+  for (auto& [id, machine] : machine_table().machines()) {
+    machine->queue.erase(QueueKey{job->spec.priority, job->spec.estimated_runtime, job->spec.id});
+    usage_accounting().DetachJob(machine.get(), job);
+    if (machine->held_for == job) machine->held_for = nullptr;
   }
   record_writer().RemoveProgress(now, *job);
   if (job->IsGang()) gang_scheduler().Remove(job);
@@ -158,28 +159,28 @@
 }
 
 void JobTable::StopTasks(const std::string& id) {
-  for (auto& [machine_id, m] : machine_table().machines()) {
-    if (StopTasksOn(m.get(), id)) agent_client().SendStops(m.get());
+  for (auto& [machine_id, machine] : machine_table().machines()) {
+    if (StopTasksOn(machine.get(), id)) agent_client().SendStops(machine.get());
   }
 }
 
-// Withdraws starts that have not been sent; returns whether the machine has tasks to be told.
-bool JobTable::StopTasksOn(Machine* m, const std::string& id) {
-  bool any = false;
-  for (auto it = m->allocations.begin(); it != m->allocations.end();) {
-    Allocation& o = it->second;
-    if (o.ref.job == id && o.start_unsent) {
-      it = usage_accounting().Remove(m, it);
+// Drops starts that have not been sent. Returns whether stops have to be sent to the machine.
+bool JobTable::StopTasksOn(Machine* machine, const std::string& id) {
+  bool has_stops = false;
+  for (auto it = machine->allocations.begin(); it != machine->allocations.end();) {
+    Allocation& allocation = it->second;
+    if (allocation.ref.job == id && allocation.start_unsent) {
+      it = usage_accounting().Remove(machine, it);
       continue;
     }
-    if (o.ref.job == id && !o.exited()) {
-      o.stop_requested = true;
-      o.grace_period = {};
-      any = true;
+    if (allocation.ref.job == id && !allocation.exited()) {
+      allocation.stop_requested = true;
+      allocation.grace_period = {};
+      has_stops = true;
     }
     ++it;
   }
-  return any;
+  return has_stops;
 }
 
 JobStatus JobTable::Status(const std::string& id) const {
@@ -219,31 +220,32 @@
   }
 }
 
-void JobTable::RequeueTask(Micros now, Job* job, int task, Micros pause) {
+void JobTable::RequeueTask(Micros now, Job* job, int task, Micros delay) {
   TaskState& t = job->tasks[static_cast<size_t>(task)];
   if (t.stage == TaskStage::kDone) return;
   t.stage = TaskStage::kWaiting;
   t.machine = nullptr;
   if (job->IsGang()) {
-    job->backoff_until = std::max(job->backoff_until, now + pause);
-  } else if (pause.count > 0) {
-    job->delayed.emplace(now + pause, task);
+    job->backoff_until = std::max(job->backoff_until, now + delay);
+  } else if (delay.count > 0) {
+    job->delayed.emplace(now + delay, task);
   } else {
     job->waiting.push_front(task);
   }
 }
 
-void JobTable::MarkGuaranteed(Micros now) {
+void JobTable::MarkGuaranteedTasks(Micros now) {
   for (size_t i = 0; i < settings().teams.size(); ++i) {
     const Team& team = settings().teams[i];
     if (team.guarantee.cpu == 0 && team.guarantee.gpu == 0) continue;
-    MarkGuaranteedOf(now, static_cast<int>(i));
+    MarkTeamGuaranteedTasks(now, static_cast<int>(i));
   }
 }
 
-// Job by job, the earliest first, until the team's guarantee is used up: of an array as many tasks
-// as fit into what is left of it, a gang or service whole or not at all.
-void JobTable::MarkGuaranteedOf(Micros now, int team) {
+// Goes through the team's jobs, earliest first, until its guarantee is used up. An array counts
+// with as many tasks as fit into the rest of the guarantee, a gang or service with all tasks or
+// none.
+void JobTable::MarkTeamGuaranteedTasks(Micros now, int team) {
   Resources room = quota_checker().Guarantee(team);
   room.mem = INT64_MAX / 2;  // memory is not guaranteed
   std::vector<Job*> jobs;
--- a/src/core/leader/leader.cpp
+++ b/src/core/leader/leader.cpp
@@ -5,16 +5,16 @@
 namespace badgershore {
 namespace {
 
-// Ticks come every 100 ms: a longer gap between two means that the process was stalled.
+// The leader ticks every 100 ms. A gap longer than this means that the process was stalled.
 constexpr Micros kStallThreshold = Seconds(1);
 
-// A watch without changes is answered after this long, which bounds how old the knowledge of
-// cancellations is while nothing changes.
+// Timeout of a watch without changes. It bounds the age of the known cancellations while nothing
+// changes.
 constexpr Micros kJobWatchTimeout = Millis(500);
 
 constexpr Micros kLoadRetryDelay = Millis(300);
 
-// Heartbeats that arrive before the records are read.
+// Limits on heartbeats that wait until the records are loaded.
 constexpr Micros kEarlyHeartbeatTimeout = Seconds(2);
 constexpr size_t kMaxEarlyHeartbeats = 4096;
 
@@ -46,8 +46,8 @@
       heartbeat_handler_(&context_),
       fair_share_(&context_),
       stuck_job_detector_(&context_) {
-  context_.began = last_tick_at_ = now;
-  context_.began_ms = time_of_day_ms;
+  context_.term_began_at = last_tick_at_ = now;
+  context_.term_began_ms = time_of_day_ms;
   ConnectComponents();
   FollowJobRecords();
 }
@@ -79,17 +79,18 @@
   context_.stuck_job_detector = &stuck_job_detector_;
 }
 
-// The authority rests on the cache, which knows up to when cancellations are known.
+// The leader's authority depends on the cache, which knows up to which time cancellations are
+// known.
 void Leader::FollowJobRecords() {
   jobs_cache_ = std::make_unique<KeyRangeCache>(
       context_.outbox, keys::kJob,
       [this](Micros t, const Entry& e) { job_table_.ApplyJobRecord(t, e); },
       [this](Micros) {
         if (std::exchange(jobs_loaded_, true)) return;
-        // Progress is read after the jobs, so that each finds its job.
+        // Progress is loaded after the jobs, since each progress record refers to its job.
         LoadPrefix(keys::kProgress, "");
         LoadPrefix(keys::kFleet, "");
-        if (quota_shares_.alone()) return;
+        if (quota_shares_.is_single_cell()) return;
         ++pending_loads_;
         LoadPrefix(keys::kLimits, "");
       },
@@ -109,7 +110,8 @@
   op.start_after = after;
   context_.outbox->SendState(op, [=, this, alive = context_.alive](Micros now, StateResponse& r) {
     if (!*alive) return;
-    // Not at once: in an outage retries would use up the request rate that users need.
+    // The retry is delayed: in an outage, immediate retries would use up the request rate that user
+    // requests need.
     if (!r.ok()) return failed_loads_.push_back({now + kLoadRetryDelay, prefix, after});
     for (const Entry& e : r.entries) {
       record_writer_.Load(now, e);
@@ -123,7 +125,7 @@
 void Leader::OnPrefixLoaded(Micros now) {
   if (--pending_loads_ > 0) return;
   ready_ = true;
-  quota_shares_.Begin(now);
+  quota_shares_.OnRecordsLoaded(now);
   context_.outbox->Info("term " + std::to_string(context_.election->term()) +
                         " ready: " + std::to_string(job_table_.jobs().size()) + " jobs, " +
                         std::to_string(machine_table_.machines().size()) +
@@ -196,18 +198,18 @@
 }
 
 void Leader::RetryFailedLoads(Micros now) {
-  std::vector<Load> due;
+  std::vector<FailedLoad> due;
   for (size_t i = failed_loads_.size(); i-- > 0;) {
-    if (now < failed_loads_[i].at) continue;
+    if (now < failed_loads_[i].retry_at) continue;
     due.push_back(failed_loads_[i]);
     failed_loads_.erase(failed_loads_.begin() + static_cast<long>(i));
   }
-  for (const Load& load : due) LoadPrefix(load.prefix, load.after);
+  for (const FailedLoad& load : due) LoadPrefix(load.prefix, load.after);
 }
 
 void Leader::RejectExpiredEarlyHeartbeats(Micros now) {
   while (!early_heartbeats_.empty() &&
-         now - early_heartbeats_.front().at > kEarlyHeartbeatTimeout) {
+         now - early_heartbeats_.front().received_at > kEarlyHeartbeatTimeout) {
     context_.outbox->effects.heartbeat_responses.push_back(
         {early_heartbeats_.front().request_id, 503, "", 0, {}});
     early_heartbeats_.pop_front();
@@ -218,7 +220,7 @@
   quota_shares_.Tick(now);
   job_table_.ExpirePendingCancellations(now);
   job_table_.MarkStarved(now);
-  job_table_.MarkGuaranteed(now);
+  job_table_.MarkGuaranteedTasks(now);
   fair_share_.Tick(now);
   stuck_job_detector_.Tick(now);
   job_table_.UpdateSmallestNeed();
--- a/src/core/leader/leader_component.h
+++ b/src/core/leader/leader_component.h
@@ -1,5 +1,5 @@
-// The base of a leader's components: access to what is outside of the term and to each other.
-// A component's state is its own; others read and change it through its public functions alone.
+// Base class of the leader's components. It gives access to the objects that outlive a term and to
+// the other components. Each component owns its state; others use only its public functions.
 #pragma once
 
 #include <functional>
@@ -49,8 +49,8 @@
   std::map<std::string, MachineType>* types = nullptr;  // complete once `types_known`
   std::function<bool()> types_known;
 
-  Micros began;
-  int64_t began_ms = 0;  // the time of day at `began`
+  Micros term_began_at;
+  int64_t term_began_ms = 0;  // time of day at `term_began_at`, in milliseconds
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   AgentClient* agent_client = nullptr;
@@ -93,8 +93,8 @@
   const LeaderAuthority& authority() const { return *context_->authority; }
   std::map<std::string, MachineType>& types() const { return *context_->types; }
   bool types_known() const { return context_->types_known(); }
-  Micros began() const { return context_->began; }
-  int64_t began_ms() const { return context_->began_ms; }
+  Micros term_began_at() const { return context_->term_began_at; }
+  int64_t term_began_ms() const { return context_->term_began_ms; }
 
   AgentClient& agent_client() const { return *context_->agent_client; }
   Autoscaler& scaler() const { return *context_->scaler; }
@@ -121,7 +121,7 @@
   FairShare& fair_share() const { return *context_->fair_share; }
   StuckJobDetector& stuck_job_detector() const { return *context_->stuck_job_detector; }
 
-  // Wraps a callback so that it does nothing after the term has ended.
+  // Wraps a response callback so that it does nothing once the term has ended.
   template <typename F>
   auto Guarded(F f) const {
     return [alive = context_->alive, f = std::move(f)](Micros now, auto& r) {
--- a/src/core/leader/provisioner.cpp
+++ b/src/core/leader/provisioner.cpp
@@ -21,7 +21,7 @@
 constexpr Micros kThrottledInterval = Seconds(2);
 constexpr Micros kRetryInterval = Seconds(1);
 constexpr Micros kLogInterval = Seconds(5);
-// A new leader scales nothing for so long while machines have not told what they run.
+// A new leader postpones scaling by up to this long while machines are unreconciled.
 constexpr Micros kMaxReconciliationWait = Seconds(3);
 
 }  // namespace
@@ -31,7 +31,7 @@
 
 void Provisioner::Tick(Micros now) {
   inventory_.Tick(now);
-  // Past the lease another leader may be scaling the fleet.
+  // After the lease has expired, another leader may be scaling the fleet.
   if (!election()->MayStart(now)) return;
   RetryScaleOuts(now);
   if (now >= next_scale_at_ && types_known()) Scale(now);
@@ -46,7 +46,8 @@
 
 void Provisioner::Scale(Micros now) {
   next_scale_at_ = now + kScaleInterval;
-  if (!reconciler().unreconciled().empty() && now - began() < kMaxReconciliationWait) return;
+  if (!reconciler().unreconciled().empty() && now - term_began_at() < kMaxReconciliationWait)
+    return;
   Apply(now, scaler().Decide(TakeSnapshot(now)));
   machine_time_.Update(now);
   if (now < next_log_at_) return;
@@ -58,7 +59,7 @@
 ScalingSnapshot Provisioner::TakeSnapshot(Micros now) const {
   ScalingSnapshot snapshot;
   snapshot.now = now;
-  snapshot.term_began_at = began();
+  snapshot.term_began_at = term_began_at();
   snapshot.machine_types = &types();
   snapshot.zones = &settings().zones;
   snapshot.objectives = &settings().objectives;
@@ -91,10 +92,11 @@
 }
 
 void Provisioner::Apply(Micros now, const ScalingDecision& decision) {
-  for (Machine* m : decision.undrain) m->draining = false;
-  for (Machine* m : decision.drain) Drain(now, m);
-  for (Machine* m : decision.release) {
-    if (m->allocations.empty() && m->queue.empty()) machine_table().ReleaseMachine(now, m, "idle");
+  for (Machine* machine : decision.undrain) machine->draining = false;
+  for (Machine* machine : decision.drain) Drain(now, machine);
+  for (Machine* machine : decision.release) {
+    if (machine->allocations.empty() && machine->queue.empty())
+      machine_table().ReleaseMachine(now, machine, "idle");
   }
   for (const ScaleOutRequest& request : decision.scale_out) {
     ScaleOut(now, request.offer, request.count);
@@ -111,22 +113,22 @@
 
 // Replicas never end by themselves; they are started again elsewhere.
 void Provisioner::StopServices(Machine* machine) {
-  bool any = false;
+  bool has_stops = false;
   for (auto& [key, allocation] : machine->allocations) {
     const Job* job = allocation.job;
     if (!job || !job->IsService() || allocation.exited() || allocation.stop_requested) continue;
-    allocation.stop_requested = any = true;
+    allocation.stop_requested = has_stops = true;
     allocation.grace_period = job->spec.checkpoint_duration;
   }
-  if (any) agent_client().SendStops(machine);
+  if (has_stops) agent_client().SendStops(machine);
 }
 
 void Provisioner::LogFleet() const {
   int booting = 0;
   int up = 0;
-  for (auto& [id, m] : machine_table().machines()) {
-    booting += m->stage == MachineStage::kBooting;
-    up += m->stage == MachineStage::kUp;
+  for (auto& [id, machine] : machine_table().machines()) {
+    booting += machine->stage == MachineStage::kBooting;
+    up += machine->stage == MachineStage::kUp;
   }
   outbox()->Debug("fleet: machines up " + std::to_string(up) + ", booting " +
                   std::to_string(booting) + ", jobs " + std::to_string(job_table().jobs().size()) +
@@ -137,7 +139,7 @@
   for (; count > kMaxInstancesPerScaleOut; count -= kMaxInstancesPerScaleOut) {
     ScaleOut(now, offer, kMaxInstancesPerScaleOut);
   }
-  // Unique for ever, since the term is this leader's alone.
+  // Unique across all leaders, since no other leader has this term.
   const std::string request_name =
       "t" + std::to_string(election()->term()) + "-" + std::to_string(++scale_out_requests_);
   pending_scale_outs_[request_name] = PendingScaleOut{offer, count, 0, false, now};
@@ -173,7 +175,7 @@
     OnScaledOut(now, request, response);
   } else if (response.outcome == Outcome::kUnknown &&
              ++request.unknown_outcomes < kMaxUnknownOutcomes) {
-    // Under the same name, since it may have been carried out.
+    // Retried under the same name, since the request may have been carried out.
     request.retry_at = now + kRetryInterval;
     return;
   }
--- a/src/core/leader/quota_log.cpp
+++ b/src/core/leader/quota_log.cpp
@@ -16,7 +16,7 @@
 
 std::string TaskName(const TaskRef& ref) { return ref.job + "/" + std::to_string(ref.task); }
 
-// The first task on the machine whose job's team is not known; empty: none.
+// The first task on the machine whose team is unknown; empty if there is none.
 std::string FirstUnknownTask(const Machine& machine) {
   for (const auto& [key, allocation] : machine.allocations) {
     if (allocation.team < 0 && !allocation.exited()) return TaskName(allocation.ref);
@@ -75,8 +75,8 @@
   int listed = 0;
   for (const auto& [team, placements] : placements_) {
     if (listed++ >= kMaxTeamsInLine) break;
-    out += "; " + std::to_string(placements.tasks) + " placed from " + placements.first + ", " +
-           quota_checker().Describe(team);
+    out += "; " + std::to_string(placements.tasks) + " tasks placed, first " + placements.first +
+           ", " + quota_checker().Describe(team);
   }
   return out;
 }
--- a/src/core/leader/quota_shares.cpp
+++ b/src/core/leader/quota_shares.cpp
@@ -12,16 +12,18 @@
 
 constexpr Micros kSendInterval = Millis(500);
 constexpr Micros kUpdateInterval = Millis(300);
-// After that a message goes to all controllers of a cell, not to its last known leader.
-constexpr Micros kLeaderExpires = Seconds(3);
-// Transfers received or acknowledged meanwhile share a write.
+// If a cell has sent no message for this long, messages go to all of its controllers instead of its
+// last known leader.
+constexpr Micros kLeaderAddressLifetime = Seconds(3);
+// Transfers that are received or acknowledged within this interval share a write.
 constexpr Micros kWriteInterval = Millis(400);
 constexpr Micros kWriteRetryDelay = Millis(300);
-// A team whose limit has had room for so long waits for machines, not for quota.
+// If the limit has let a team's tasks start for this long and they still wait, the team is short of
+// machines rather than quota.
 constexpr Micros kMachineShortageAfter = Seconds(20);
 
-limits::ResourceAmounts TotalsOf(const Team& team) {
-  const auto limit = [](int64_t said) { return said > 0 ? said : limits::kUnlimited; };
+limits::ResourceAmounts TeamTotals(const Team& team) {
+  const auto limit = [](int64_t amount) { return amount > 0 ? amount : limits::kUnlimited; };
   return {limit(team.limit.cpu), limit(team.limit.gpu), team.guarantee.cpu, team.guarantee.gpu};
 }
 
@@ -42,11 +44,11 @@
 }
 
 QuotaShares::QuotaShares(const LeaderContext* context)
-    : LeaderComponent(context), allowed_since_(settings().teams.size(), kNever) {
+    : LeaderComponent(context), startable_since_(settings().teams.size(), kNever) {
   if (options().cells.cells.empty()) return;
   ledger_ = std::make_unique<limits::QuotaLedger>(QuotaSettings(options().cells));
   limits::TeamAmounts totals;
-  for (const Team& team : settings().teams) totals[team.name] = TotalsOf(team);
+  for (const Team& team : settings().teams) totals[team.name] = TeamTotals(team);
   ledger_->SetTotals(totals);
 }
 
@@ -57,22 +59,22 @@
   record_version_ = entry.version;
 }
 
-void QuotaShares::Begin(Micros now) {
-  if (alone()) return;
+void QuotaShares::OnRecordsLoaded(Micros now) {
+  if (is_single_cell()) return;
   ledger_->Load(loaded_record_, static_cast<uint64_t>(TimeOfDay(now)));
   loaded_record_.reset();
   UpdateDemand(now);
-  UpdateOccupancy();
+  ApplyUsableQuota();
 }
 
 void QuotaShares::Tick(Micros now) {
-  if (alone() || !ledger_->loaded()) return;
+  if (is_single_cell() || !ledger_->loaded()) return;
   if (now >= update_at_) {
     update_at_ = now + kUpdateInterval;
     UpdateDemand(now);
     ledger_->Tick(TimeOfDay(now));
   }
-  UpdateOccupancy();
+  ApplyUsableQuota();
   WriteRecord(now);
   if (now >= send_at_) SendStatus(now);
   LogRestriction();
@@ -86,7 +88,7 @@
 }
 
 void QuotaShares::AddJob(const Job& job, TeamWork* work) const {
-  work->all = work->all + job.spec.need.Times(job.remaining());
+  work->remaining = work->remaining + job.spec.need.Times(job.remaining());
   const int open = job.remaining() - job.placed;
   if (open <= 0) return;
   limits::QuotaDemand& demand = work->demand;
@@ -102,10 +104,10 @@
       (!work->first_gang || MoreUrgent(job, *work->first_gang))) {
     work->first_gang = &job;
   }
-  if (quota_checker().Allows(job, at_once)) work->allowed = true;
+  if (quota_checker().Allows(job, at_once)) work->startable = true;
 }
 
-std::vector<QuotaShares::TeamWork> QuotaShares::SumUpJobs() const {
+std::vector<QuotaShares::TeamWork> QuotaShares::SummarizeJobs() const {
   std::vector<TeamWork> teams(settings().teams.size());
   for (const auto& [id, job] : job_table().jobs()) {
     if (job->team < 0 || job->finishing) continue;
@@ -114,23 +116,23 @@
   return teams;
 }
 
-limits::QuotaDemand QuotaShares::DemandOf(Micros now, size_t team, const TeamWork& work) {
+limits::QuotaDemand QuotaShares::ComputeDemand(Micros now, size_t team, const TeamWork& work) {
   limits::QuotaDemand demand = work.demand;
   const Resources used =
       usage_accounting().Used(static_cast<int>(team)) + usage_accounting().uncertain_use();
   const Resources& guarantee = settings().teams[team].guarantee;
   demand.used = {used.cpu, used.gpu, 0, 0};
-  // Where the limit has room and work waits all the same, more quota would lie idle.
-  Micros& allowed_since = allowed_since_[team];
-  allowed_since = work.allowed ? std::min(allowed_since, now) : kNever;
-  const bool lacks_machines = work.allowed && now - allowed_since > kMachineShortageAfter;
+  // If tasks wait although the limit would let them start, more quota would stay unused.
+  Micros& startable_since = startable_since_[team];
+  startable_since = work.startable ? std::min(startable_since, now) : kNever;
+  const bool lacks_machines = work.startable && now - startable_since > kMachineShortageAfter;
   const auto useful = [&](int64_t waiting, int64_t has, int64_t at_once) {
     return lacks_machines ? std::min(waiting, std::max(has / 10, at_once)) : waiting;
   };
   demand.additional = {useful(work.waiting.cpu, used.cpu, work.largest.cpu),
                        useful(work.waiting.gpu, used.gpu, work.largest.gpu),
-                       std::min(work.all.cpu, guarantee.cpu),
-                       std::min(work.all.gpu, guarantee.gpu)};
+                       std::min(work.remaining.cpu, guarantee.cpu),
+                       std::min(work.remaining.gpu, guarantee.gpu)};
   if (const Job* gang = work.first_gang) {
     const Resources needed = gang->spec.need.Times(gang->remaining());
     demand.all_or_nothing = true;
@@ -143,13 +145,13 @@
 }
 
 void QuotaShares::UpdateDemand(Micros now) {
-  const std::vector<TeamWork> teams = SumUpJobs();
+  const std::vector<TeamWork> teams = SummarizeJobs();
   for (size_t team = 0; team < teams.size(); ++team) {
-    ledger_->SetDemand(settings().teams[team].name, DemandOf(now, team, teams[team]));
+    ledger_->SetDemand(settings().teams[team].name, ComputeDemand(now, team, teams[team]));
   }
 }
 
-void QuotaShares::UpdateOccupancy() {
+void QuotaShares::ApplyUsableQuota() {
   for (size_t team = 0; team < settings().teams.size(); ++team) {
     const std::string& name = settings().teams[team].name;
     const auto usable = [&](limits::ResourceKind kind) { return ledger_->Usable(name, kind); };
@@ -160,16 +162,17 @@
 }
 
 void QuotaShares::OnMessage(Micros now, const limits::CellMessage& message) {
-  if (alone() || !ledger_->OnMessage(message, TimeOfDay(now))) return;
+  if (is_single_cell() || !ledger_->OnMessage(message, TimeOfDay(now))) return;
   leader_addresses_[message.from] = message.leader_address;
-  heard_at_[message.from] = now;
-  UpdateOccupancy();
+  last_message_at_[message.from] = now;
+  ApplyUsableQuota();
   WriteRecord(now);
 }
 
-std::vector<std::string> QuotaShares::AddressesOf(Micros now, const std::string& cell) {
-  auto heard = heard_at_.find(cell);
-  if (heard != heard_at_.end() && now - heard->second < kLeaderExpires) {
+std::vector<std::string> QuotaShares::LeaderAddresses(Micros now, const std::string& cell) {
+  auto last_message = last_message_at_.find(cell);
+  if (last_message != last_message_at_.end() &&
+      now - last_message->second < kLeaderAddressLifetime) {
     return {leader_addresses_[cell]};
   }
   std::vector<std::string> addresses;
@@ -185,14 +188,14 @@
     message.leader_address = settings().peer_listen;
     message.term = election()->term();
     CellDelivery delivery;
-    delivery.addresses = AddressesOf(now, message.to);
+    delivery.addresses = LeaderAddresses(now, message.to);
     delivery.message = std::move(message);
     outbox()->effects.cell_deliveries.push_back(std::move(delivery));
   }
 }
 
-// Conditional on the term and on the version that was read, so that no other leader's record is
-// overwritten. A repeated write after an unknown outcome is identical.
+// The write is conditional on the term and on the record's known version, so that it can't
+// overwrite another leader's record. A retry after an unknown outcome writes the same record.
 void QuotaShares::WriteRecord(Micros now) {
   if (writing_ || now < write_at_ || !election()->leads()) return;
   const std::optional<limits::QuotaRecord> record = ledger_->RecordToWrite();
@@ -212,8 +215,8 @@
 void QuotaShares::OnRecordWritten(Micros now, uint64_t version, uint64_t number) {
   record_version_ = version;
   ledger_->OnWritten(number);
-  UpdateOccupancy();
-  send_at_ = now;  // the other cells wait for what is durable now
+  ApplyUsableQuota();
+  send_at_ = now;  // the other cells wait for the changes that are durable now
 }
 
 void QuotaShares::OnWriteResponse(Micros now, const StateResponse& response, uint64_t number) {
@@ -225,10 +228,10 @@
   const auto& failed = response.failed_keys;
   if (response.outcome == StateResponse::Outcome::kConflict &&
       std::find(failed.begin(), failed.end(), keys::kTerm) != failed.end()) {
-    return election()->StepDown(now, "the term has moved on");
+    return election()->StepDown(now, "a later term has begun");
   }
   write_at_ = now + kWriteRetryDelay;
-  if (response.outcome == StateResponse::Outcome::kRefused) return;  // retried as it is
+  if (response.outcome == StateResponse::Outcome::kRefused) return;  // the same write is retried
   ReloadRecord(number);
 }
 
@@ -244,7 +247,7 @@
 void QuotaShares::OnReloadResponse(Micros now, const StateResponse& response, uint64_t number) {
   writing_ = false;
   write_at_ = now + kWriteRetryDelay;
-  if (!response.ok() || response.entries.empty()) return;  // the write is retried as it is
+  if (!response.ok() || response.entries.empty()) return;  // the same write is retried
   const Entry& entry = response.entries[0];
   const auto* record = std::get_if<limits::QuotaRecord>(&entry.value);
   if (record && record->number == number) {
@@ -255,9 +258,9 @@
 }
 
 std::string QuotaShares::Summary() const {
-  if (alone()) return "";
+  if (is_single_cell()) return "";
   return ledger_->restricted_to_floor_reason().empty()
-             ? "; cells not heard " + std::to_string(ledger_->UnheardCells().size())
+             ? "; unreachable cells " + std::to_string(ledger_->UnheardCells().size())
              : "; quota restricted to the floor share";
 }
 
--- a/src/core/leader/quota_shares.h
+++ b/src/core/leader/quota_shares.h
@@ -16,48 +16,51 @@
 
 limits::Settings QuotaSettings(const CellsPlan& plan);
 
-// Reads and writes the ledger's durable record, exchanges messages with the other cells' leaders,
-// and tells Occupancy what may be used. Does nothing in a deployment of one cell, where the limits
-// of the settings hold as they are.
+// Loads and writes the quota ledger's durable record, exchanges messages with the other cells'
+// leaders, and sets the quotas of QuotaChecker to this cell's shares. Does nothing in a deployment
+// of one cell, where the limits of the settings apply unchanged.
 class QuotaShares : public LeaderComponent {
  public:
   explicit QuotaShares(const LeaderContext* context);
 
-  // There are no other cells.
-  bool alone() const { return !ledger_; }
-  // An entry under the limits prefix, read before Begin.
+  // The deployment has no other cells.
+  bool is_single_cell() const { return !ledger_; }
+  // Loads an entry under the limits prefix. To be called before OnRecordsLoaded().
   void Load(const Entry& entry);
-  // All records of the term have been read.
-  void Begin(Micros now);
+  // To be called once all records have been loaded.
+  void OnRecordsLoaded(Micros now);
   void Tick(Micros now);
   void OnMessage(Micros now, const limits::CellMessage& message);
-  // For the log: whether all that is held may be used. Empty when alone.
+  // For the log: the unreachable cells, or that the quota is restricted. Empty in a single-cell
+  // deployment.
   std::string Summary() const;
-  // Null when alone.
+  // Null in a single-cell deployment.
   const limits::QuotaLedger* ledger() const { return ledger_.get(); }
 
  private:
-  // A team's jobs, as far as they matter for its demand.
+  // The properties of a team's jobs that determine its quota demand.
   struct TeamWork {
     limits::QuotaDemand demand;
     Resources waiting;                // of tasks without a machine
-    Resources all;                    // of tasks that are not done
-    Resources largest;                // placed at once: the largest task or gang that waits
-    const Job* first_gang = nullptr;  // waits for the limit; the most urgent one
-    bool allowed = false;             // some job waits although the limit would let it start
+    Resources remaining;              // of tasks that are not done
+    Resources largest;                // of the largest task or gang that waits to start
+    const Job* first_gang = nullptr;  // the most urgent gang that waits for quota
+    bool startable = false;           // some job waits although the limit would let it start
   };
-  int64_t TimeOfDay(Micros now) const { return began_ms() + (now - began()).ToMillis(); }
+  int64_t TimeOfDay(Micros now) const {
+    return term_began_ms() + (now - term_began_at()).ToMillis();
+  }
   void UpdateDemand(Micros now);
-  std::vector<TeamWork> SumUpJobs() const;
+  std::vector<TeamWork> SummarizeJobs() const;
   void AddJob(const Job& job, TeamWork* work) const;
-  limits::QuotaDemand DemandOf(Micros now, size_t team, const TeamWork& work);
-  void UpdateOccupancy();
+  limits::QuotaDemand ComputeDemand(Micros now, size_t team, const TeamWork& work);
+  void ApplyUsableQuota();
   void LogRestriction();
   void SendStatus(Micros now);
-  std::vector<std::string> AddressesOf(Micros now, const std::string& cell);
+  std::vector<std::string> LeaderAddresses(Micros now, const std::string& cell);
   void WriteRecord(Micros now);
   void OnWriteResponse(Micros now, const StateResponse& response, uint64_t number);
-  // After a write without a known outcome.
+  // Reads the record again after a write whose outcome is unknown.
   void ReloadRecord(uint64_t number);
   void OnReloadResponse(Micros now, const StateResponse& response, uint64_t number);
   void OnRecordWritten(Micros now, uint64_t version, uint64_t number);
@@ -69,10 +72,10 @@
   Micros write_at_;
   Micros send_at_;
   Micros update_at_;
-  std::map<std::string, std::string> leader_addresses_;  // by cell, as last heard
-  std::map<std::string, Micros> heard_at_;               // by cell
-  // By team's number: since when work has waited although the limit would let it start.
-  std::vector<Micros> allowed_since_;
+  std::map<std::string, std::string> leader_addresses_;  // by cell, from its last message
+  std::map<std::string, Micros> last_message_at_;        // by cell
+  // By team index: since when tasks have been waiting although the limit would let them start.
+  std::vector<Micros> startable_since_;
   std::string logged_reason_;
 };
 
