--- a/src/core/api/admission_control.cpp
+++ b/src/core/api/admission_control.cpp
@@ -7,10 +7,13 @@
 namespace {
 
 constexpr Micros kDecayTime = Seconds(10);
-constexpr Micros kLimitAssumedFor = Seconds(3);  // after a refusal
+// How long after a rate-limited write the limit is assumed to be still reached.
+constexpr Micros kLimitAssumedFor = Seconds(3);
 constexpr double kNegligibleAttempts = 0.05;
-constexpr double kMargin = 1.2;            // of the teams' mean
-constexpr int kMaxRetryAfterSeconds = 10;  // users give up after a minute
+// A team is rejected if its attempts exceed this multiple of the mean of all teams.
+constexpr double kMargin = 1.2;
+// Users give up after a minute.
+constexpr int kMaxRetryAfterSeconds = 10;
 
 }  // namespace
 
@@ -31,7 +34,7 @@
     const size_t teams = attempts_.size() + (attempts_.contains(team) ? 0 : 1);
     const double mean = sum / static_cast<double>(teams);
     const double own = attempts_.contains(team) ? attempts_[team] : 0;
-    // A team alone is held to the state service's limit only.
+    // A single team is subject to the state service's limit only.
     if (teams > 1 && own > kMargin * mean) {
       const double excess = own / std::max(mean, 1.0);
       return std::clamp(static_cast<int>(std::ceil(excess)), 1, kMaxRetryAfterSeconds);
--- a/src/core/api/job_api.cpp
+++ b/src/core/api/job_api.cpp
@@ -67,7 +67,7 @@
     if (job.outcome != StateResponse::Outcome::kNotFound) {
       return Refuse(request_id, 503, id, "the state service can't be read");
     }
-    // The end is read second: a job's record is deleted in the transaction that writes its end.
+    // The end record is read second, because the transaction that writes it deletes the job record.
     ReadEnd(request_id, id, missing_status, reason);
   });
 }
@@ -89,8 +89,9 @@
   const std::string id = submission.id;
   if (id.empty()) return Refuse(request_id, 400, id, submission.reason);
   const auto on_live = [=, this](Micros, const StateResponse&) { AnswerLive(request_id, id); };
-  // An accepted id is reported by its record whatever its description would be answered today:
-  // answering 400 would deny an accepted job. Where the record can't be read the user retries.
+  // A repeated submission of an accepted job is answered from the job's record, even if the
+  // description is rejected now: a 400 would deny an accepted job. If the record can't be read, the
+  // user has to retry.
   if (!submission.spec) return ReadJob(request_id, id, 400, submission.reason, on_live);
   if (!callbacks_.types_known()) {
     return ReadJob(request_id, id, 503, "the machine types are not known yet", on_live);
@@ -117,7 +118,7 @@
     if (response.outcome == StateResponse::Outcome::kConflict) {
       return ReadJob(request_id, id, 503, "the job's record is changing", on_live);
     }
-    // Not recorded, or perhaps recorded: the user retries and learns which.
+    // The write may have been carried out or not: the user's retry finds out.
     Refuse(request_id, 503, id, "the job can't be recorded now");
   });
 }
@@ -129,8 +130,8 @@
 
 void JobApi::Cancel(RequestId request_id, const std::string& id, int attempts) {
   ReadJob(request_id, id, 404, "no such job", [=, this](Micros now, const StateResponse& job) {
-    // Announced before it is recorded, so that the leader starts none of its tasks once the user
-    // has been answered.
+    // The leader is notified before the cancellation is recorded, so that it starts no task of the
+    // job once the user has received the response.
     callbacks_.on_cancellation_pending(now, id);
     RecordCancellation(request_id, id, job.entries[0].version, attempts);
   });
@@ -149,7 +150,7 @@
       AnswerEnded(request_id, id);
       callbacks_.on_cancellation_recorded(now, id);
     } else if (response.outcome == StateResponse::Outcome::kConflict && attempts > 1) {
-      Cancel(request_id, id, attempts - 1);  // the job ended meanwhile, or its record changed
+      Cancel(request_id, id, attempts - 1);  // the job has ended or its record has changed
     } else {
       Refuse(request_id, 503, id, "the cancellation can't be recorded now");
     }
--- a/src/core/api/job_api.h
+++ b/src/core/api/job_api.h
@@ -1,4 +1,4 @@
-// The users' job requests: submit, query, cancel.
+// The job API for users: submit, query and cancel.
 #pragma once
 
 #include <cstddef>
@@ -14,20 +14,20 @@
 namespace badgershore {
 
 struct Submission {
-  std::string id;               // empty: not even an id could be read
-  std::optional<JobSpec> spec;  // absent: malformed
-  std::string reason;           // why it is malformed
+  std::string id;               // empty if the request contains no valid id
+  std::optional<JobSpec> spec;  // absent if the request is malformed
+  std::string reason;           // why the request is malformed
 };
 
-// Serves users on any controller, leading or not: each answer rests on a durable record or a fresh
-// read. Answers go to the outbox as ApiResponses with HTTP statuses.
+// Serves users on the leader and on followers alike: each response is based on a durable record or
+// on a fresh read. Responses are put into the outbox as ApiResponses with HTTP status codes.
 class JobApi {
  public:
   struct Callbacks {
-    // Why the job can never run; empty when it can.
+    // Why the job can never run; empty if it can.
     std::function<std::string(const JobSpec&)> infeasible_reason;
     std::function<bool()> types_known;
-    // The job's cancellation is about to be recorded.
+    // Called right before the job's cancellation is written to the state service.
     std::function<void(Micros, const std::string& job)> on_cancellation_pending;
     std::function<void(Micros, const std::string& job)> on_cancellation_recorded;
     // Task counts of a live job, for display.
@@ -37,14 +37,14 @@
 
   void Submit(Micros now, RequestId request_id, Submission submission);
   void Query(RequestId request_id, const std::string& id);
-  // `attempts`: how often a write that conflicts is tried.
+  // `attempts`: maximum number of writes while they fail with a conflict.
   void Cancel(RequestId request_id, const std::string& id, int attempts = 4);
 
  private:
   using OnLiveJob = std::function<void(Micros, const StateResponse& job)>;
 
-  // Reads the job and calls `on_live` when it has not ended. Otherwise answers: with the end, with
-  // `missing_status` and `reason` for an unknown job, or with 503 when the read fails.
+  // Reads the job and calls `on_live` if it has not ended. Otherwise responds with the job's end,
+  // with `missing_status` and `reason` if the job is unknown, or with 503 if the read fails.
   void ReadJob(RequestId request_id, const std::string& id, int missing_status,
                const std::string& reason, const OnLiveJob& on_live);
   void ReadEnd(RequestId request_id, const std::string& id, int missing_status,
@@ -57,7 +57,7 @@
               int running = 0);
   void Refuse(RequestId request_id, int status, const std::string& id, std::string reason,
               int retry_after_s = 1);
-  // Answers from the cached ends; false when the job's end is not among them.
+  // Responds from the cached end records; false if the job's end is not cached.
   bool AnswerEnded(RequestId request_id, const std::string& id);
   void AnswerLive(RequestId request_id, const std::string& id);
   void CacheEnd(const std::string& id, const JobEndRecord& end);
@@ -67,7 +67,7 @@
   Outbox* outbox_;
   Callbacks callbacks_;
   AdmissionControl admission_control_;
-  // An end never changes, so it may be cached; the oldest are evicted.
+  // Cached end records, which never change. The oldest are evicted.
   std::unordered_map<std::string, JobEndRecord> ends_;
   std::list<std::string> ends_order_;
 };
--- a/src/core/controller/connectivity.cpp
+++ b/src/core/controller/connectivity.cpp
@@ -3,7 +3,8 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kReachableFor = Seconds(2);  // after the last answer or heartbeat
+// How long after the last response or heartbeat the other side still counts as reachable.
+constexpr Micros kReachableFor = Seconds(2);
 constexpr Micros kProbeInterval = Millis(900);
 
 }  // namespace
--- a/src/core/controller/connectivity.h
+++ b/src/core/controller/connectivity.h
@@ -1,4 +1,4 @@
-// What this controller reaches: the state service, and the workers that send heartbeats here.
+// Whether this controller reaches the state service and receives heartbeats from agents.
 #pragma once
 
 #include "core/outbox/outbox.h"
@@ -9,13 +9,13 @@
  public:
   explicit Connectivity(Outbox* outbox) : outbox_(outbox) {}
 
-  // Reads a key when the state service has not answered anything for a while, so that reachability
-  // is known on a controller without requests of its own.
+  // Probes the state service by reading a key if it has sent no response for a while, so that its
+  // reachability is also known on a controller that has no other requests.
   void Tick(Micros now);
   void OnStateResponse(Micros now, const StateResponse& response);
   void OnHeartbeat(Micros now) { heartbeat_at_ = now; }
 
-  // The state service has answered within the last `span`.
+  // Whether a response of the state service arrived within the last `span`.
   bool StateServiceAnsweredWithin(Micros now, Micros span) const {
     return now - state_answer_at_ < span;
   }
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -4,9 +4,12 @@
 namespace {
 
 constexpr Micros kStatusInterval = Millis(500);
+// How long a handover waits for writes in flight.
 constexpr Micros kHandoverWait = Millis(250);
-constexpr Micros kStepDownPause = Seconds(15);  // before standing again after yielding
-constexpr Micros kHealthyFor = Seconds(3);      // after the state service's last answer
+// A leader that stepped down for a peer with heartbeats is not a candidate again for this long.
+constexpr Micros kStepDownPause = Seconds(15);
+// How long after the state service's last response this controller still counts as healthy.
+constexpr Micros kHealthyFor = Seconds(3);
 
 }  // namespace
 
@@ -76,8 +79,8 @@
     outbox_.Info("shutting down: handing leadership over to " + peers_.PreferredSuccessor(now));
     peers_.Leave(now);
   }
-  // Writes in flight finish first, or the successor would find them undone; nothing starts
-  // meanwhile.
+  // Waits for writes in flight, or the successor would not find their results. No tasks are started
+  // in the meantime.
   if (leader_ && leader_->recording() && now < handover_deadline_) return;
   election_->HandOver(now, peers_.PreferredSuccessor(now));
 }
@@ -86,17 +89,17 @@
   if (shutting_down_) return false;
   if (!election_->synced()) return false;
   if (connectivity_.StateServiceAnsweredWithin(now, kHealthyFor)) return true;
-  // Users are better off elsewhere only where a peer does reach the state service.
+  // Without the state service, users should be sent elsewhere only if a peer reaches it.
   return !peers_.StateServiceReachableFromPeer(now);
 }
 
-// A leader without heartbeats can start nothing, and would in the end release all its machines,
-// while their workers report to a peer that redirects them here. With no such peer it stays: then
-// the fault may be the workers'.
+// A leader that receives no heartbeats can't start tasks and would eventually release all machines,
+// while their agents report to a peer that redirects them to this controller. If no peer receives
+// heartbeats either, the leader stays, since the fault may be on the agents' side.
 void Controller::StepDownForPeerWithHeartbeats(Micros now) {
   const std::string peer = peers_.PeerReceivingHeartbeats(now);
   if (peer.empty()) return;
-  election_->StepDown(now, "no heartbeats arrive here, but " + peer + " receives them",
+  election_->StepDown(now, "no heartbeats received, but peer " + peer + " receives them",
                       kStepDownPause);
 }
 
@@ -183,7 +186,7 @@
   HeartbeatResponse answer;
   answer.request_id = request_id;
   if (leader_ && heartbeat.fencing_token > election_->term()) {
-    election_->StepDown(now, "a worker has seen a higher fencing token");
+    election_->StepDown(now, "an agent has seen a higher fencing token");
   }
   if (leader_ && AnswerAsLeader(now, request_id, heartbeat, &answer)) return;
   if (!leader_) connectivity_.OnHeartbeat(now);
@@ -205,7 +208,8 @@
   job_api_->Cancel(request_id, job);
 }
 
-// Only a leader takes part in quota transfers. Messages are repeated, so one may be dropped.
+// Only a leader takes part in quota transfers. Senders repeat their messages, so a message that
+// arrives too early may be dropped.
 void Controller::OnCellMessage(Micros now, const limits::CellMessage& message) {
   if (leader_ && leader_->ready()) leader_->OnCell(now, message);
   ended_leader_.reset();
@@ -216,10 +220,11 @@
 }
 
 void Controller::OnPeerStatus(Micros now, const PeerStatus& status) {
-  // Terms are read from the state service and only grow: this one is over, though this controller
-  // may be the one that the state service refuses.
+  // Terms come from the state service and only increase. A peer with a higher term shows that this
+  // term has ended, even if the state service refuses this controller's requests.
   if (leader_ && status.term > election_->term()) {
-    election_->StepDown(now, status.from + " knows of term " + std::to_string(status.term));
+    election_->StepDown(now,
+                        "peer " + status.from + " reports term " + std::to_string(status.term));
     ended_leader_.reset();
   }
   if (leader_) {
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -1,5 +1,5 @@
-// One controller of a cell: it takes inputs and collects effects, and knows no clock, socket or
-// thread.
+// One controller of a cell: it handles inputs and collects effects, and uses no clock, socket or
+// thread of its own.
 #pragma once
 
 #include <memory>
@@ -16,13 +16,14 @@
 
 namespace badgershore {
 
-// Joins the election, the users' job API and, while this controller leads, its term. Calls must not
-// overlap. After each input the owner takes and carries out the effects.
+// Combines the election, the users' job API and, while this controller leads, the Leader. Calls
+// must not overlap. After each input the owner takes the effects and carries them out.
 class Controller {
  public:
   Controller(PlatformSettings settings, Options options);
 
-  // Inputs. `now` is monotonic; `request_id` comes back in the answer among the effects.
+  // Inputs. `now` is monotonic. The response, which is among the effects, has the `request_id` of
+  // its request.
   void Tick(Micros now, int64_t time_of_day_ms);
   void OnStateResponse(Micros now, RequestId id, StateResponse response);
   void OnCloudResponse(Micros now, RequestId id, CloudResponse response);
@@ -35,8 +36,8 @@
   void OnMembershipMessage(Micros now, const membership::Message& message);
   void OnCellMessage(Micros now, const limits::CellMessage& message);
 
-  // The process is to end: a leader hands over to a peer. Idempotent; continued by each tick until
-  // `handover_done`.
+  // Called when the process is to terminate: a leader hands over to a peer. Idempotent; each tick
+  // continues the handover until `handover_done`.
   void BeginHandover(Micros now);
   bool handover_done() const { return shutting_down_ && !election_->leads(); }
 
@@ -58,9 +59,9 @@
   void SendStatus(Micros now);
   void OnCancellationPending(Micros now, const std::string& job);
   void OnCancellationRecorded(Micros now, const std::string& job);
-  // A leader that no worker reaches yields to a peer that workers do reach.
+  // Steps down as the leader if a peer receives heartbeats and this controller does not.
   void StepDownForPeerWithHeartbeats(Micros now);
-  // Lets the leader answer; false: somebody else has to.
+  // Lets the leader answer the heartbeat; false if the agent must be redirected or rejected.
   bool AnswerAsLeader(Micros now, RequestId request_id, const Heartbeat& heartbeat,
                       HeartbeatResponse* answer);
 
@@ -73,12 +74,12 @@
   std::unique_ptr<Election> election_;
   std::unique_ptr<JobApi> job_api_;
   std::unique_ptr<Leader> leader_;
-  // Ended term, kept until no call into it can be on the stack.
+  // Leader of the term that just ended, kept until no call to it can be on the stack.
   std::unique_ptr<Leader> ended_leader_;
   int64_t time_of_day_ms_ = 0;
   Micros status_at_;
   bool shutting_down_ = false;
-  Micros handover_deadline_;  // writes in flight are not waited for any longer
+  Micros handover_deadline_;  // when the handover stops waiting for writes in flight
 };
 
 }  // namespace badgershore
--- a/src/core/controller/machine_type_catalog.cpp
+++ b/src/core/controller/machine_type_catalog.cpp
@@ -28,7 +28,7 @@
 
 bool MachineTypeCatalog::ExceedsTeamLimit(const JobSpec& spec, const Team& team) const {
   const Resources all = spec.kind == JobKind::kArray ? spec.need : spec.need.Times(spec.tasks);
-  // With several cells, the share that the others never transfer is out of reach here.
+  // With several cells, part of the limit always stays with the other cells and can't be used here.
   const double share =
       options_->cells.cells.empty() ? 1 : limits::GatherableShare(QuotaSettings(options_->cells));
   const auto exceeds = [&](int64_t needs, int64_t limit) {
--- a/src/core/controller/machine_type_catalog.h
+++ b/src/core/controller/machine_type_catalog.h
@@ -14,13 +14,14 @@
   MachineTypeCatalog(const PlatformSettings* settings, const Options* options)
       : settings_(settings), options_(options) {}
 
-  // A record under the control prefix; other records than types and their count are ignored.
+  // Reads a record under the control prefix. Records other than machine types and their count are
+  // ignored.
   void OnControlEntry(const Entry& entry);
-  // As many types have been read as the recorded count says.
+  // Whether as many types have been read as the recorded count says.
   bool complete() const;
-  // By name. The leader adds what it learns from the cloud.
+  // Machine types by name. The leader adds the types that the cloud reports.
   std::map<std::string, MachineType>* types() { return &types_; }
-  // Why the job can never run in this cluster; empty when it can.
+  // Why the job can never run in this cluster; empty if it can.
   std::string InfeasibleReason(const JobSpec& spec) const;
 
  private:
--- a/src/core/controller/peer_view.cpp
+++ b/src/core/controller/peer_view.cpp
@@ -6,11 +6,11 @@
 namespace badgershore {
 namespace {
 
-// Statuses come twice a second.
+// Peers send their status twice a second. A status is recent, or expired, after these times.
 constexpr Micros kHeardLately = Millis(1500);
 constexpr Micros kStatusExpires = Seconds(3);
 
-// Smaller ranks go first.
+// The member with the smallest rank is the first candidate.
 struct CandidateRank {
   bool suspected = false;
   bool state_service_unreachable = false;
@@ -57,8 +57,7 @@
     const bool confirmed = members_->IsSuspicionConfirmed(now, name);
     if (confirmed && logged_suspects_.insert(name).second) {
       const auto& by = members_->Find(name)->suspected_by;
-      outbox_->Info("peer " + name + " suspected: suspected by " + std::to_string(by.size()) +
-                    " members");
+      outbox_->Info("peer " + name + " suspected by " + std::to_string(by.size()) + " members");
     } else if (!confirmed && members_->Find(name)->state == membership::State::kAlive &&
                logged_suspects_.erase(name) > 0) {
       outbox_->Info("peer " + name + " is alive again");
--- a/src/core/controller/peer_view.h
+++ b/src/core/controller/peer_view.h
@@ -1,5 +1,5 @@
-// What this controller knows of its peers: membership, their last statuses, and from both who
-// should lead.
+// This controller's knowledge of its peers: the membership and their last statuses, and from both
+// the election position and the preferred successor.
 #pragma once
 
 #include <cstdint>
@@ -16,33 +16,36 @@
 
 namespace badgershore {
 
-// Suspicions only order the candidates and name a successor. That a lease has expired is for the
-// state service to say.
+// Suspicions only determine the order of the candidates and the successor. Only the state service
+// decides whether a leader lease has expired.
 class PeerView {
  public:
   PeerView(const PlatformSettings* settings, const Connectivity* connectivity, Outbox* outbox)
       : settings_(settings), connectivity_(connectivity), outbox_(outbox) {}
 
-  // `time_of_day_ms` numbers this run of the process among the member's runs.
+  // `time_of_day_ms` at the first call distinguishes this process from the member's earlier ones.
   void Tick(Micros now, int64_t time_of_day_ms);
   void OnMembershipMessage(Micros now, const membership::Message& message);
   void OnStatus(Micros now, const PeerStatus& status);
-  // Tells the members that this one leaves.
+  // Announces to the other members that this one leaves.
   void Leave(Micros now);
 
-  // How many members go before this one when nobody leads: those that seem alive and reach more.
+  // Number of members that become candidates before this one when there is no leader: those that
+  // seem alive and reach the state service or receive heartbeats.
   int ElectionPosition(Micros now) const;
-  // The peer to hand leadership to: of those heard lately first who reaches the state service, then
-  // who receives heartbeats, then by name. Empty: none was heard.
+  // The peer to hand leadership over to, among those with a recent status: preferably one that
+  // reaches the state service, then one that receives heartbeats, then the first by name. Empty if
+  // there is none.
   std::string PreferredSuccessor(Micros now) const;
-  // A peer heard lately that reaches the state service and receives heartbeats; empty: none.
+  // A peer with a recent status that reaches the state service and receives heartbeats; empty if
+  // there is none.
   std::string PeerReceivingHeartbeats(Micros now) const;
-  // The leader by the highest term known, of the state service's (`term`, `leader`) and the peers'
-  // statuses. Empty: unknown, or this controller.
+  // The leader of the highest known term, according to the state service (`term`, `leader`) and the
+  // peers' statuses. Empty if it is unknown or this controller.
   std::string LeaderName(Micros now, uint64_t term, std::string leader) const;
-  // Some peer heard lately reaches the state service.
+  // Whether some peer whose status has not expired reaches the state service.
   bool StateServiceReachableFromPeer(Micros now) const;
-  // Counts of a live job as the leader last sent them; zero when unknown.
+  // Task counts of a live job as the leader last sent them; zero if unknown.
   JobStatus StatusOf(const std::string& job) const;
 
   // Null before the first tick.
--- a/src/core/election/election.cpp
+++ b/src/core/election/election.cpp
@@ -3,13 +3,18 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kPositionDelay = Millis(120);   // between the candidates' first attempts
-constexpr Micros kSuccessorDelay = Millis(600);  // others wait so long for a named successor
-constexpr Micros kRetryDelay = Millis(400);      // after an attempt, and by position:
+// Stagger between the first attempts of candidates at successive election positions.
+constexpr Micros kPositionDelay = Millis(120);
+// Additional delay of all other candidates when the previous leader named a successor.
+constexpr Micros kSuccessorDelay = Millis(600);
+// Delay before the next attempt, plus the second one for each election position.
+constexpr Micros kRetryDelay = Millis(400);
 constexpr Micros kRetryPositionDelay = Millis(150);
 constexpr Micros kRenewRetryDelay = Millis(150);
-constexpr double kRenewAfter = 0.2;          // of the lease
-constexpr Micros kLeaseMargin = Millis(50);  // for what is under way when the lease expires
+// Share of the lease duration after which the lease is renewed.
+constexpr double kRenewAfter = 0.2;
+// Leaves time for messages that are in flight when the lease expires.
+constexpr Micros kLeaseMargin = Millis(50);
 
 }  // namespace
 
@@ -41,17 +46,18 @@
 }
 
 void Election::OnLeaderEntry(Micros now, const Entry& entry) {
-  // The watch may still deliver versions from before our own election.
+  // The watch may still deliver versions that are older than this member's own election.
   if (entry.version < last_leader_version_) return;
   last_leader_version_ = entry.version;
-  // Deleted, or another's: our term is over, whatever our clock says.
+  // The key was deleted or another member wrote it: this term has ended, even if the lease has not
+  // expired by the local clock.
   if (leads() && entry.version > term_version_) StepDown(now, "the leader key has changed");
   leader_version_ = entry.deleted ? 0 : entry.version;
   leader_.clear();
   const auto* record = std::get_if<LeaderRecord>(&entry.value);
   if (record && !entry.deleted) leader_ = record->leader;
-  // In the first list, our own name is our previous run's. That run is over, since this process has
-  // its address: its lease need not be waited out.
+  // If the first list names this member, its previous process wrote the key. That process has
+  // ended, since this one is bound to the same address, so its lease need not expire first.
   if (!control_cache_.synced() && !leads() && leader_ == member_) {
     previous_run_version_ = entry.version;
     leader_.clear();
@@ -76,8 +82,8 @@
   seen_term_version_ = entry.version;
 }
 
-// A successor named in the transaction that vacated the key stands at once and the others wait for
-// it; without one they stand by position.
+// If the transaction that deleted the leader key named a successor, that member becomes a candidate
+// at once and the others wait for it. Otherwise candidates are staggered by election position.
 void Election::ScheduleCandidacy(Micros now) {
   const Micros by_position = now + kPositionDelay.Scaled(position_);
   if (successor_version_ == 0 || successor_version_ != vacated_version_) {
@@ -101,8 +107,9 @@
   outbox_->SendState(commit, [this, successor](Micros now, StateResponse& response) {
     handover_in_flight_ = false;
     if (!leads() || response.outcome == StateResponse::Outcome::kRefused) return;
-    // Without an answer the lease is revoked, which vacates the key but may name nobody.
-    StepDown(now, "handing over to " + (successor.empty() ? "whoever stands first" : successor));
+    // If the outcome is unknown, StepDown still revokes the lease, which deletes the leader key;
+    // the successor record may then be missing.
+    StepDown(now, "handing over to " + (successor.empty() ? "the first candidate" : successor));
   });
 }
 
@@ -140,8 +147,8 @@
                       {keys::kTerm, false, TermRecord{term, member_}, 0}};
   outbox_->SendState(commit, [this, sent, lease, term](Micros now, StateResponse& response) {
     if (!response.ok()) {
-      // Without an answer the key may be ours or yet become ours: revoke the lease, so that a late
-      // commit can't hold the key for nobody.
+      // If the outcome is unknown, the commit may have succeeded or may succeed later. Revoking the
+      // lease keeps a delayed commit from holding the leader key while no member leads.
       role_ = Role::kFollower;
       return RevokeLease(lease);
     }
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -1,4 +1,5 @@
-// Leader election of one cell through the state service: a key under a lease and a counted term.
+// Leader election of one cell through the state service: a leader key bound to a lease, and a term
+// number that increases with each election.
 #pragma once
 
 #include <algorithm>
@@ -11,64 +12,67 @@
 
 namespace badgershore {
 
-// Share of a span by which the clocks of two hosts may run apart: twice the protocol's bound.
+// Maximum relative drift between the clocks of two hosts: twice the bound that the protocol gives.
 constexpr double kClockDrift = 0.001;
 
-// Stands for the leader key when it is free, renews its lease while leading, and steps down when
-// the lease can't be renewed in time or the key is seen to have changed. What a leader does with
-// its term is up to the callbacks.
+// Becomes a candidate when the leader key is absent, renews the lease while leading, and steps down
+// when the lease has expired or the leader key has changed. The callbacks do the leader's work.
 class Election {
  public:
   struct Callbacks {
     std::function<void(Micros)> on_elected;
     std::function<void(Micros)> on_lost;
-    // Entries under the control prefix that are not the election's own.
+    // Called for entries under the control prefix that do not belong to the election.
     std::function<void(Micros, const Entry&)> on_control_entry;
   };
-  // `position`: how many members go first when nobody leads. `lease`: the leader lease's duration.
+  // `position`: number of members that become candidates before this one when there is no leader.
+  // `lease`: duration of the leader lease.
   Election(Outbox* outbox, std::string member, int position, Micros lease, Callbacks callbacks);
 
   void Tick(Micros now);
-  // Ends the term and revokes the lease; does not stand again before `now + pause`. No effect on a
-  // follower.
+  // Ends the term and revokes the lease; this member is not a candidate again before `now + pause`.
+  // No effect on a follower.
   void StepDown(Micros now, const std::string& reason, Micros pause = Millis(500));
 
-  // Deletes the leader key and names `successor` in one transaction, and never stands again. From
-  // here on MayStart is false. Call again until `handed_over` or the lease has expired.
+  // Deletes the leader key and names `successor` in one transaction. From this call on MayStart is
+  // false and this member is never a candidate again. Call it repeatedly until `handed_over` is
+  // true or the lease has expired.
   void HandOver(Micros now, const std::string& successor);
   bool handed_over() const { return handover_requested_ && role_ == Role::kFollower; }
 
   void SetPosition(int position) { position_ = position; }
   bool leads() const { return role_ == Role::kLeader; }
-  // The lease surely holds at `now`, counted from when its last renewal was sent.
+  // Whether the lease is certain to be valid at `now`, measured from the send time of its last
+  // successful renewal.
   bool MayStart(Micros now) const { return leads() && !handover_requested_ && now < lease_until_; }
-  // What is decided now may leave this process until then.
+  // Messages that depend on the lease may leave this process until this time.
   Micros lease_until() const { return lease_until_; }
-  // When the last renewal that the state service confirmed was sent.
+  // Send time of the last renewal (or grant) that the state service confirmed.
   Micros confirmed_at() const { return confirmed_at_; }
   uint64_t term() const { return term_; }
-  // Version of the term record that this leader wrote: a precondition of all its transactions.
+  // Version of the term record that this leader wrote. It is a precondition of all the leader's
+  // transactions.
   uint64_t term_version() const { return term_version_; }
-  // The leader as the state service shows it; empty: none.
+  // The leader according to the state service; empty if there is none.
   const std::string& leader() const { return leader_; }
   uint64_t seen_term() const { return seen_term_; }
-  // A fencing token seen at a worker: the next term must be above it.
+  // Records a fencing token that an agent reported; the next term must be greater.
   void NoteFencingToken(uint64_t fencing_token) {
     seen_fencing_token_ = std::max(seen_fencing_token_, fencing_token);
   }
   bool synced() const { return control_cache_.synced(); }
-  // The whole state with times relative to `now`, for state space exploration: equal for two
-  // elections that behave alike from here on.
+  // The complete state with times relative to `now`, for state space exploration. Two elections
+  // with equal fingerprints behave the same from then on.
   std::string Fingerprint(Micros now) const;
 
  private:
   enum class Role { kFollower, kCandidate, kLeader };
   void StartCandidacy(Micros now);
-  // Writes the leader key and the term under `lease`, which was requested at `sent`.
+  // Writes the leader key, bound to `lease`, and the term. `sent`: when the lease was requested.
   void WriteTerm(Micros sent, uint64_t lease);
   void OnElected(Micros now, Micros sent, uint64_t lease, uint64_t term, uint64_t revision);
   void RevokeLease(uint64_t lease);
-  // The leader key is absent, or was left by this member's previous run.
+  // The leader key is absent, or was written by this member's previous process.
   bool Vacant() const { return leader_version_ == 0 || leader_version_ == previous_run_version_; }
   void Renew(Micros now);
   void ScheduleCandidacy(Micros now);
@@ -76,7 +80,8 @@
   void OnLeaderEntry(Micros now, const Entry& entry);
   void OnSuccessorEntry(Micros now, const Entry& entry);
   void OnTermEntry(const Entry& entry);
-  // Until when a lease requested at `sent` may be relied on here.
+  // Until when a lease that was requested or renewed at `sent` is certain to be valid by the local
+  // clock.
   Micros UsableLease(Micros sent) const;
 
   Outbox* outbox_;
@@ -92,16 +97,18 @@
   Micros lease_until_;
   Micros confirmed_at_;
   Micros renew_at_;
-  // Version of the leader key as first read, if it named this member: its previous run's.
+  // Version of the leader key in the first list if it named this member, so that its previous
+  // process wrote it.
   uint64_t previous_run_version_ = 0;
   bool renewing_ = false;
   bool handover_requested_ = false;
   bool handover_in_flight_ = false;
-  // Whom the last leader named, and the versions of that record and of the leader key's deletion.
+  // The successor that the last leader named, and the versions of that record and of the deletion
+  // of the leader key.
   std::string successor_;
   uint64_t successor_version_ = 0;
   uint64_t vacated_version_ = 0;
-  // As the state service shows them. leader_version_ is 0 while the key is absent.
+  // As last read from the state service. leader_version_ is 0 while the key is absent.
   std::string leader_;
   uint64_t leader_version_ = 0;
   uint64_t last_leader_version_ = 0;
--- a/src/core/election/leader_authority.h
+++ b/src/core/election/leader_authority.h
@@ -1,4 +1,4 @@
-// Until when a leader may act on its decisions.
+// Deadlines until which a leader may act on its decisions.
 #pragma once
 
 #include <algorithm>
@@ -8,17 +8,19 @@
 
 namespace badgershore {
 
-// Bounds what a leader may still send to workers, by its lease and by the moment up to which it
-// surely knows every cancellation. Queried at the decision; what leaves the process later carries
-// its deadline with it.
+// Limits what a leader may still send to agents, by the leader lease and by the time up to which
+// the leader has read all cancellations. It is checked when a decision is made; a message that
+// leaves the process later carries its deadline.
 //
-// A leader whom the state service refuses can't tell that from an outage, so nothing that it hears
-// elsewhere extends a bound. Whoever else confirms a cancellation does so after known_as_of, or it
-// is known here; counted from there, no worker's lease outlives the cancellation deadline.
+// A leader that the state service refuses can't distinguish this from an outage, so messages from
+// elsewhere never extend a limit. A cancellation that another controller confirms was either
+// recorded after known_as_of or is known here. Measured from known_as_of, no agent lease that this
+// leader extends outlasts the cancellation deadline.
 class LeaderAuthority {
  public:
-  // `jobs`: the cache of the live jobs' records, which a cancellation deletes. `cancel_deadline`:
-  // by when a cancelled job's tasks have to be stopped. `lease`: the leader's.
+  // `jobs`: cache of the live jobs' records; a cancellation deletes its job's record.
+  // `cancel_deadline`: time within which the tasks of a cancelled job must have stopped. `lease`:
+  // duration of the leader lease.
   LeaderAuthority(const Election* election, const KeyRangeCache* jobs, Micros cancel_deadline,
                   Micros worker_lease, Micros lease)
       : election_(election),
@@ -26,26 +28,28 @@
         answer_span_(std::max(Seconds(0), cancel_deadline - worker_lease - kMargin)),
         knowledge_span_(lease.Scaled(2)) {}
 
-  // Every cancellation recorded before then has been applied here.
+  // Every cancellation that was recorded before this time has been applied here.
   Micros known_as_of() const { return jobs_->known_as_of(); }
 
-  // Heartbeats may be answered until then: an answer lets a worker keep its tasks for a lease from
-  // the heartbeat's sending. Bounded by the leader lease too, since a successor relies on workers'
-  // leases not being extended after its predecessor's.
+  // Heartbeats may be answered until this time. An answer extends the agent lease, by which the
+  // agent keeps its tasks, counted from when the heartbeat was sent. The limit also follows the
+  // leader lease, because a successor relies on no agent lease being extended after the lease of
+  // its predecessor has expired.
   Micros answer_until() const {
     return std::min(election_->confirmed_at(), known_as_of()) + answer_span_;
   }
   bool MayAnswer(Micros now) const { return now < answer_until(); }
 
-  // Commands that start tasks may leave this process until then. A renewal that succeeds right
-  // after an outage says nothing of what was cancelled meanwhile.
+  // Commands that start tasks may leave this process until this time. The leader lease alone is not
+  // enough: a renewal that succeeds right after an outage does not tell which jobs were cancelled
+  // during it.
   Micros start_until() const {
     return std::min({election_->lease_until(), known_as_of() + knowledge_span_, answer_until()});
   }
   bool MayStart(Micros now) const { return election_->MayStart(now) && now < start_until(); }
 
  private:
-  // Covers the clocks' drift over both spans, and a worker that ends its tasks a moment late.
+  // Allows for clock drift over both spans and for an agent that stops its tasks slightly late.
   static constexpr Micros kMargin = Seconds(2);
 
   const Election* election_;
