--- a/src/core/model/effects.h
+++ b/src/core/model/effects.h
@@ -1,4 +1,4 @@
-// What goes into the core and what comes out of it. No clock, socket or log is known here.
+// Inputs and outputs of the core, which itself uses no clock, socket or log.
 #pragma once
 
 #include <cstdint>
@@ -28,11 +28,11 @@
   enum class Kind { kGet, kList, kCompareAndSwap, kGrantLease, kRenewLease, kRevokeLease, kWatch };
   RequestId id = 0;
   Kind kind = Kind::kGet;
-  std::string key;          // key or prefix
-  std::string start_after;  // paging
-  uint64_t revision = 0;    // watch
+  std::string key;          // key, or prefix for kList and kWatch
+  std::string start_after;  // kList: the page begins after this key
+  uint64_t revision = 0;    // kWatch: changes after this revision
   uint64_t lease = 0;
-  Micros duration;  // lease time or watch wait
+  Micros duration;  // kGrantLease: lease duration; kWatch: maximum wait
   std::vector<Precondition> preconditions;
   std::vector<Mutation> mutations;
 };
@@ -43,7 +43,7 @@
   bool deleted = false;
 };
 struct StateResponse {
-  // kRefused: surely not carried out. kUnknown: may have been, or may be later.
+  // kRefused: certainly not carried out. kUnknown: may have been carried out, or may be later.
   enum class Outcome { kOk, kNotFound, kConflict, kInvalid, kCompacted, kRefused, kUnknown };
   Outcome outcome = Outcome::kUnknown;
   std::vector<Entry> entries;
@@ -51,7 +51,7 @@
   uint64_t revision = 0;
   uint64_t lease = 0;
   bool has_more = false;
-  bool rate_limited = false;  // kRefused because its limit is reached
+  bool rate_limited = false;  // kRefused because the rate limit is reached
   bool ok() const { return outcome == Outcome::kOk; }
 };
 
@@ -64,7 +64,8 @@
   bool spot = false;
   int count = 0;
   std::vector<std::string> machines;
-  Micros valid_until = kNever;  // not sent any more after that: answered kBusy
+  // After this time the request is not sent and its outcome is kThrottled.
+  Micros valid_until = kNever;
 };
 struct CloudInstance {
   std::string id, endpoint, type, zone;
@@ -82,7 +83,7 @@
   bool ok() const { return outcome == Outcome::kOk; }
 };
 
-// ---- Workers ----
+// ---- Agents ----
 struct TaskRef {
   std::string job;
   int task = 0;
@@ -140,7 +141,9 @@
   std::string leader;
   uint64_t fencing_token = 0;
   std::vector<Command> commands;
-  Micros valid_until = kNever;  // its starts may not leave after that: the report gets 503
+  // The response may not be sent after this time, because of the start commands in it: the
+  // heartbeat is then answered with 503.
+  Micros valid_until = kNever;
 };
 struct CommandRequest {
   RequestId id = 0;
@@ -149,7 +152,7 @@
   std::vector<Command> commands;
 };
 struct CommandResponse {
-  int status = 0;  // 0: no answer
+  int status = 0;  // 0: no response
   std::optional<Heartbeat> heartbeat;
 };
 
@@ -161,7 +164,7 @@
   std::string job;
   JobPhase phase = JobPhase::kPending;
   int done = 0, running = 0;
-  std::string reason;  // for refusals
+  std::string reason;  // why the request was rejected
   int retry_after_s = 0;
 };
 
@@ -176,15 +179,16 @@
   std::string leader;
   bool state_service_reachable = false;
   std::vector<JobStatus> job_statuses;
-  bool receives_heartbeats = false;  // some worker has reported there of late
-  // Jobs whose cancellation is being recorded there: nothing of them is worth starting. A hint;
-  // lost, late or repeated it does no harm.
+  bool receives_heartbeats = false;  // an agent has sent a heartbeat to this peer recently
+  // Jobs whose cancellation this peer is recording, so that the leader need not start their tasks.
+  // Only a hint: it may be lost, delayed or duplicated without harm.
   std::vector<std::string> cancelling;
-  // Jobs whose cancellation is durable. Ends never change, so this is good however late it comes.
+  // Jobs whose cancellation is durable. End records never change, so this may arrive late.
   std::vector<std::string> cancelled;
 };
 
-// What a leader tells another cell's: to one address, or to all of the cell's.
+// A message from this cell's leader to another cell's, sent to one address or to all addresses of
+// that cell.
 struct CellDelivery {
   std::vector<std::string> addresses;
   limits::CellMessage message;
--- a/src/core/model/fleet.h
+++ b/src/core/model/fleet.h
@@ -1,4 +1,4 @@
-// Machines, their sessions, and what is or may be on each.
+// Machines, their agents' epochs and leases, and the tasks that are or may be on each machine.
 #pragma once
 
 #include <deque>
@@ -13,23 +13,25 @@
 
 namespace badgershore {
 
-// A task on a machine, or one that may be there.
+// An attempt of a task that is on a machine, or may be there.
 struct Allocation {
   TaskRef ref;
   uint64_t attempt = 0;
-  Job* job = nullptr;  // null once the job is over
-  int team = -1;       // its number in the settings; -1: not known
+  Job* job = nullptr;  // null once the job has ended
+  int team = -1;       // the team's index in the settings; -1: unknown
   Resources need;
   TaskPhase phase = TaskPhase::kStartSent;
   ExitReason exit_reason = ExitReason::kNone;
-  bool start_unsent = false;  // reserved; its start goes out with the machine's next check-in
-  bool reported = false;      // a report has listed it
-  bool confirmed = false;     // reported while on the machine, and has not exited
-  uint64_t sent_epoch = 0, sent_sequence = 0;  // of the report whose answer carried the start
+  // Reserved: the start command is sent in the response to the machine's next heartbeat.
+  bool start_unsent = false;
+  bool reported = false;   // a heartbeat has listed it
+  bool confirmed = false;  // a heartbeat has listed it, and it has not exited
+  // Agent epoch and sequence number of the heartbeat whose response carried the start command.
+  uint64_t sent_epoch = 0, sent_sequence = 0;
   bool stop_requested = false;
   Micros grace_period;
-  bool counted = false;           // in the usage accounting
-  int preemptible_priority = -1;  // its rank, where a gang of higher rank may stop it
+  bool counted = false;           // included in the usage accounting
+  int preemptible_priority = -1;  // its priority if a gang of higher priority may preempt it
   bool exited() const { return phase == TaskPhase::kExited; }
 };
 
@@ -45,9 +47,9 @@
 };
 
 enum class MachineStage {
-  kBooting,      // rented, has not reported
-  kUp,           // reports
-  kTerminating,  // the cloud has been asked to take it back
+  kBooting,      // requested from the cloud; no heartbeat yet
+  kUp,           // its agent sends heartbeats
+  kTerminating,  // the cloud has been asked to terminate it
 };
 
 struct Machine {
@@ -56,51 +58,60 @@
   const MachineType* type = nullptr;
   MachineStage stage = MachineStage::kBooting;
 
-  // Durable record. No start before it is written.
+  // Whether the machine's record is durable. No task is started on the machine before that.
   bool durable = false;
   bool durable_write_pending = false;
 
-  // False from a takeover until the machine is known to obey this term only.
+  // False from a failover until the agent is known to accept commands of this term only.
   bool reconciled = true;
-  // Its lease, and with it all its tasks, surely ends by then if nobody answers it any more.
+  // Without further responses, the agent's lease has expired and all its tasks have stopped by
+  // then.
   Micros agent_lease_until;
 
   uint64_t agent_epoch = 0, sequence = 0;
-  uint64_t heartbeat_sequence =
-      0;                         // of the session's last report that was no answer to a direct call
-  Micros last_contact_at{-1};    // last valid report, also in the answer to a direct call
-  Micros last_heartbeat_at{-1};  // the last that it sent by itself: only their answers bring starts
-  Micros first_answered_at{
-      -1};  // first answer to a report of an earlier term since it knew this one
-  // Its worker, which has one report in flight, has sent a later one: nobody awaits an answer.
+  // Sequence number of the last heartbeat of this agent epoch, except for those that responded to a
+  // direct call.
+  uint64_t heartbeat_sequence = 0;
+  Micros last_contact_at{-1};  // last valid heartbeat, including those in responses to direct calls
+  // Last heartbeat that the agent sent by itself. Start commands are sent only in responses to
+  // these.
+  Micros last_heartbeat_at{-1};
+  // First response to a heartbeat with the fencing token of an earlier term, since the agent last
+  // sent one with the current token.
+  Micros first_answered_at{-1};
+  // The agent, which has only one heartbeat in flight, has sent a later one and no longer waits for
+  // a response to this one.
   bool IsSuperseded(const Heartbeat& r) const {
     return r.agent_epoch < agent_epoch ||
            (r.agent_epoch == agent_epoch && r.sequence <= heartbeat_sequence);
   }
   Micros rented_at;
-  Micros probe_at;  // next direct call, if it is silent or unresolved
+  Micros probe_at;  // time of the next direct call if the agent is unresponsive or unreconciled
   bool probe_in_flight = false;
   Micros first_probed_at{-1};  // the first direct call of this term
   bool listed_by_cloud = false;
   Micros missing_since{-1};
-  std::optional<Micros> preemption_at;  // spot notice, as a time
+  std::optional<Micros> preemption_at;  // when the spot machine is terminated, by its notice
 
   std::map<TaskKey, Allocation> allocations;
   std::map<QueueKey, QueueEntry> queue;
-  std::vector<double> dispatched_work;  // received so far, by bucket
+  std::vector<double> dispatched_work;  // total work dispatched to the machine, by size bucket
   Micros last_gang_at;                  // when a gang was last on it
-  const Job* reserved_for = nullptr;    // a waiting gang that is to have room here
+  const Job* reserved_for = nullptr;    // the waiting gang for which room is reserved here
   int reserved_members = 0;
-  bool reserved_after_gangs = false;  // not all of its machines are free of gangs yet
-  // Room that was made for a job within its team's guarantee: others leave it free until then.
+  // Some machines that are reserved for this gang still run other gangs.
+  bool reserved_after_gangs = false;
+  // Room that was freed by preemption for a job within its team's guarantee. Other jobs may not use
+  // it before `held_until`.
   const Job* held_for = nullptr;
   int held_tasks = 0;
   Micros held_until;
   bool draining = false;
   Micros idle_since{-1};
-  Micros start_backoff_until;  // no starts before (after a refusal)
+  Micros start_backoff_until;  // no starts before this time, after the agent refused one
 
-  std::vector<RequestId> pending_heartbeats;  // answered when recorded, or when there is work
+  // Heartbeats that are answered once the machine's record is durable, or once there is work.
+  std::vector<RequestId> pending_heartbeats;
   Micros heartbeats_pending_since;
 
   std::set<std::string> failed_jobs;
@@ -108,15 +119,16 @@
   Micros failing_since;
   std::deque<std::string> images;  // most recent last
 
-  // Kept by UsageAccounting: what has not exited, the part of it that the agent has reported, how
-  // many of jobs that are not known, and what else may be on it.
+  // Maintained by UsageAccounting: the resources of all allocations that have not exited, the part
+  // that the agent has confirmed, the number of tasks of unknown jobs, and the resources that other
+  // tasks may use on the machine.
   Resources used;
   Resources confirmed_use;
   int unknown_tasks = 0;
   Resources uncertain_use;
   bool uncertain_use_unbounded = false;
   const Resources& Used() const { return used; }
-  // What gangs have on it; the rest is open to other work.
+  // Resources that gangs use on the machine; the rest is available to other jobs.
   Resources GangUse() const;
   int ActiveTasks() const {
     int n = 0;
@@ -133,7 +145,7 @@
   }
 };
 
-// The job's fields that bind it to kinds of machines.
+// Whether the job's constraints allow its tasks on such a machine, and a task fits on an empty one.
 bool Allows(const JobSpec& spec, const MachineType& type, const std::string& zone, bool spot);
 
 }  // namespace badgershore
--- a/src/core/model/jobs.h
+++ b/src/core/model/jobs.h
@@ -1,4 +1,4 @@
-// Jobs that are not over, and where each of their tasks stands.
+// Jobs that have not ended, and the state of each of their tasks.
 #pragma once
 
 #include <deque>
@@ -16,91 +16,92 @@
 struct Machine;
 
 enum class TaskStage : uint8_t {
-  kWaiting,  // not given to any machine
-  kQueued,   // in a machine's queue, not sent
-  kPlaced,   // on a machine, or perhaps on it
+  kWaiting,  // not assigned to a machine
+  kQueued,   // in a machine's queue, start command not sent
+  kPlaced,   // on a machine, or possibly there
   kDone,
 };
 
 struct TaskState {
   TaskStage stage = TaskStage::kWaiting;
-  bool durable = false;  // its completion is durable
+  bool durable = false;  // its completion is recorded durably
   uint8_t failures = 0;
   Machine* machine = nullptr;
   Micros bound_at;  // when it was queued, then when it was placed
   uint64_t attempt = 0;
 };
 
-// A task in a machine's queue. Out of date once the task's state differs from it.
+// A task in a machine's queue. Stale once the task's state differs from it.
 struct QueuedTask {
   int task = 0;
   Micros bound_at;
 };
 
-// When a task has to start to meet an objective.
+// Time span in which a task has to start to meet an objective.
 struct StartWindow {
   Micros from, until;
 };
 
 struct Job {
   JobSpec spec;
-  uint64_t version = 0;  // version of its durable record
-  Micros submitted_at;   // on the leader's steady clock, from the time of day at submission
-  int bucket = 0;
-  int team = -1;                               // its number in the settings
-  Micros start_by = kNever;                    // by its lane's objective
+  uint64_t version = 0;      // version of its durable record
+  Micros submitted_at;       // monotonic time, computed from the time of day at submission
+  int bucket = 0;            // size bucket of its tasks, see SizeBucket()
+  int team = -1;             // the team's index in the settings; -1: unknown
+  Micros start_by = kNever;  // deadline by the wait objective of its class
   std::vector<StartWindow> objective_windows;  // one for each objective of its class
   std::vector<TaskState> tasks;
   int done = 0;
   int placed = 0;
   int running = 0;
-  int tasks_within_guarantee = 0;         // so many of its tasks are within its team's guarantee
-  Micros guarantee_short_since = kNever;  // some of those are on no machine since then
-  std::map<std::string, int> zone_count;  // tasks on machines, or perhaps there
-  bool finishing = false;                 // all done, the end is being written
-  bool cancel_pending = false;            // its cancellation is being recorded, says a node
-
-  std::deque<int> waiting;             // may hold tasks that have left kWaiting
-  std::deque<QueuedTask> bound;        // oldest first
-  std::multimap<Micros, int> delayed;  // after failures
+  int tasks_within_guarantee = 0;         // number of its tasks covered by its team's guarantee
+  Micros guarantee_short_since = kNever;  // since then, some of those are not on a machine
+  std::map<std::string, int> zone_count;  // tasks that are or may be on machines, by zone
+  bool finishing = false;                 // all tasks are done, the end record is being written
+  bool cancel_pending = false;            // a controller is recording its cancellation
+
+  std::deque<int> waiting;             // may contain tasks that are no longer kWaiting
+  std::deque<QueuedTask> bound;        // tasks in machines' queues, oldest first; may be stale
+  std::multimap<Micros, int> delayed;  // tasks in backoff after a failure, by its end
   int queued = 0;
 
-  Micros progressed_at;    // a task was started, came back or was done
-  Micros stuck_logged_at;  // no word that it does not move before
+  Micros progressed_at;    // when a task was last started, returned to waiting or was done
+  Micros stuck_logged_at;  // the job is not logged as stuck again before this time
 
   uint64_t gang_attempt = 0;      // 0: not placed
-  bool gang_attempt_ran = false;  // some member was seen running in this attempt
+  bool gang_attempt_ran = false;  // some member of this attempt was reported running
   bool gang_stopping = false;
-  bool has_run = false;                 // gangs: some attempt of it ran, in this term
-  bool starved = false;                 // arrays: nothing of it has moved for long
-  bool has_reservation = false;         // machines are kept for it
-  Micros quota_blocked_since = kNever;  // gangs: waits for its team's limit since then
-  Micros backoff_until;                 // gangs: no new attempt before
+  bool has_run = false;                 // gangs: some attempt ran during this term
+  bool starved = false;                 // arrays and services: no progress for a long time
+  bool has_reservation = false;         // machines are reserved for it
+  Micros quota_blocked_since = kNever;  // gangs: since then it waits for its team's limit
+  Micros backoff_until;                 // gangs: no new attempt before this time
 
-  // Where the progress of each chunk of tasks is kept; null before any is done.
+  // The page that stores the progress of each chunk of tasks; null before a task of it is done.
   std::vector<PagedRecords::Page*> progress_pages;
   int failures = 0;
-  std::vector<std::string> failed_machines;  // distinct machines, a few
-  // While it is at fault: so many tasks at a time, the next not before.
+  std::vector<std::string> failed_machines;  // distinct machines, only the first few
+  // While the job is faulty: maximum number of tasks at a time, and when the next may start.
   int probe_limit = 1;
   Micros next_probe_at, probe_backoff;
 
   bool IsGang() const { return spec.kind == JobKind::kGang; }
   bool IsService() const { return spec.kind == JobKind::kService; }
   int remaining() const { return spec.tasks - done; }
-  // It fails on one machine after the other, and hardly anywhere else.
+  // Its tasks fail on several machines, and few of them run or are done.
   bool IsFaulty() const { return failed_machines.size() >= 3 && failures >= 3 * (done + running); }
-  // What of it is worth room: a job at fault gets none beyond its probes.
+  // Number of tasks that should get room: a faulty job gets room only for its probes.
   int WantedTasks() const {
     return IsFaulty() ? std::min(remaining(), placed + probe_limit) : remaining();
   }
-  // Its next start is within its team's guarantee.
+  // Whether its next task is within its team's guarantee.
   bool IsGuaranteed() const { return placed < tasks_within_guarantee; }
-  // No task of it is on a machine or done, though it has waited well past the age limit.
+  // Whether none of its tasks is on a machine or done although it is well past the age limit.
   bool IsUnstarted(Micros now, Micros limit) const {
     return placed == 0 && done == 0 && now - submitted_at > limit.Scaled(1.25);
   }
-  // Its tasks start next: it has waited past the age limit, or would else miss an aim.
+  // Whether its tasks start before others: it has waited past the age limit, or would otherwise
+  // miss an objective.
   bool IsAged(Micros now, Micros limit) const {
     if (now - submitted_at > limit) return true;
     for (const auto& [from, until] : objective_windows) {
@@ -110,14 +111,14 @@
   }
 };
 
-// Which finished tasks a chunk holds, as hex digits.
+// Bitmap of the finished tasks of a chunk, as hex digits.
 std::string EncodeProgress(const Job& job, int chunk, int chunk_tasks);
 // Calls `each` for every finished task in the chunk.
 void DecodeProgress(const std::string& bits, int chunk, int chunk_tasks, int tasks,
                     const std::function<void(int)>& each);
-// A chunk's name among the progress pages' items.
+// Name of a chunk's item in the progress pages.
 std::string ProgressItem(const std::string& job, int chunk);
-// Splits "JOB/CHUNK"; false where the item is of another form.
+// Parses "JOB/CHUNK"; false if the item has another form.
 bool ParseProgressItem(const std::string& item, std::string* job, int* chunk);
 
 }  // namespace badgershore
--- a/src/core/model/paged_records.cpp
+++ b/src/core/model/paged_records.cpp
@@ -34,7 +34,8 @@
   return page;
 }
 
-// An urgent page is to be written anyway, so another item costs nothing; else the fullest.
+// Prefers an urgent page, which will be written anyway, so that another item adds no write. Among
+// equals it takes the fullest page.
 PagedRecords::Page* PagedRecords::FindPageWithRoom(size_t bytes) const {
   Page* best = nullptr;
   for (const auto& page : pages_) {
@@ -75,7 +76,7 @@
   Page* oldest = nullptr;
   for (const auto& page : pages_) {
     if (!page->dirty || page->write_in_flight || page->version_unknown) continue;
-    if (page->items.empty() && page->version == 0) continue;  // neither there nor needed
+    if (page->items.empty() && page->version == 0) continue;  // never written and empty
     if (urgent ? !page->urgent : now - page->dirty_since < delay) continue;
     if (!oldest || page->dirty_since < oldest->dirty_since) oldest = page.get();
   }
--- a/src/core/model/per_team.h
+++ b/src/core/model/per_team.h
@@ -1,4 +1,4 @@
-// A value for each team of the settings.
+// One value for each team in the settings.
 #pragma once
 
 #include <cstddef>
@@ -6,7 +6,8 @@
 
 namespace badgershore {
 
-// Indexed by a team's number in the settings; -1 is an unknown team and has a value too.
+// Indexed by the team's position in the settings. Index -1 stands for unknown teams and has a value
+// as well.
 template <typename Value>
 class PerTeam {
  public:
@@ -14,7 +15,7 @@
 
   Value& operator[](int team) { return values_[Slot(team)]; }
   const Value& operator[](int team) const { return values_[Slot(team)]; }
-  // In the order of their numbers, the unknown team first.
+  // In index order, beginning with the value of unknown teams.
   auto begin() { return values_.begin(); }
   auto end() { return values_.end(); }
   int known_teams() const { return static_cast<int>(values_.size()) - 1; }
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -1,4 +1,4 @@
-// What a controller is told: the platform's settings, and the operators' own.
+// Settings of a controller: those of the platform and those of the operators.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 struct Team {
   std::string name;
-  Resources guarantee;  // cpu and gpu only; 0: none
-  Resources limit;      // 0: no limit
+  Resources guarantee;  // cpu and gpu only; 0: no guarantee
+  Resources limit;      // cpu and gpu only; 0: no limit
   bool limited() const { return limit.cpu > 0 || limit.gpu > 0; }
 };
 
@@ -22,7 +22,7 @@
   double share = 0;
 };
 
-// Settings handed over by the platform.
+// Settings that the platform provides.
 struct PlatformSettings {
   std::string member;
   std::string site;
@@ -53,52 +53,77 @@
   }
 };
 
-// The cells that share the teams' limits and guarantees, and where their controllers hear each
-// other; empty: this cell is alone.
+// A cell that shares the teams' limits and guarantees with others.
 struct CellSite {
   std::string name;
-  std::vector<std::string> addresses;  // addresses of its controllers
-  bool initial_member = true;          // had its part of the rights from the beginning
-  bool draining = false;               // takes no rights, gives all that it does not use
-  std::string successor;               // not empty: gone for good, and its rights are that cell's
+  std::vector<std::string> addresses;  // of its controllers, for messages between cells
+  bool initial_member = true;          // has held a quota share from the beginning
+  bool draining = false;               // takes no quota and transfers all that it does not use
+  std::string successor;  // not empty: the cell was removed, and this one inherits its quota share
 };
+// All such cells; empty if there is only this one.
 struct CellsPlan {
   std::string self;
   std::vector<CellSite> cells;
 };
 
-// The operators' own settings (YAML), with the defaults that hold without a file.
+// The operators' settings (YAML). The defaults apply if there is no file.
 struct Options {
+  // Ratio of the bounds of a size bucket, see SizeBucket().
   double bucket_width = 2.0;
+  // How long a task waits in a machine's queue before another machine may start it.
   Micros rebind_wait = Seconds(3);
+  // Jobs that have waited for longer start before others.
   Micros age_limit = Seconds(120);
+  // Duration of the leader lease.
   Micros lease = Millis(2500);
+  // An agent that has sent nothing for this long is probed.
   Micros silent_probe = Seconds(5);
+  // A machine whose agent has sent nothing for about this long is released.
   Micros silent_return = Seconds(9);
-  Micros resolve_wait = Seconds(4);    // into a term: few that have not answered are given back
-  Micros hold_checkin = Seconds(1.5);  // so long the answer to an empty machine may wait
-  Micros resolve_soon = Seconds(1.2);  // so long after they were asked: hardly any (2%) are
-  double idle_boots = 0.6;             // idle for so many boot times: given back
-  double gang_idle_boots = 1.2;        // the same for machines that gangs need most of
-  int keep_machines = 0;               // so many stay, idle or not
-  double gang_spare = 1.0;  // room kept for gangs, as a share of what a boot's time brings
+  // Unreconciled machines are released this long after the term began if they are few (10%).
+  Micros resolve_wait = Seconds(4);
+  // The response to the heartbeat of an empty machine may be delayed for this long.
+  Micros hold_checkin = Seconds(1.5);
+  // Unreconciled machines are released this long after their first probe if they are very few (2%).
+  Micros resolve_soon = Seconds(1.2);
+  // A machine that was idle for this many boot times is released.
+  double idle_boots = 0.6;
+  // The same for machines most of which a gang's member needs.
+  double gang_idle_boots = 1.2;
+  // Number of machines that are kept even if idle.
+  int keep_machines = 0;
+  // Room kept for gangs, as a multiple of the members expected to arrive during a boot.
+  double gang_spare = 1.0;
+  // Default time to completion, and the share of a class's objective to aim for.
   Micros drain_target = Seconds(30);
   double drain_share = 0.45;
-  double arrival_doubt = 6;  // so few jobs of late foretell nothing
-  double ready_spread = 2;   // room kept for what can't wait for a boot: deviations above the mean
-  double ready_doubt = 2;    // so few such jobs of late foretell nothing
+  // The arrival rate forecast is zero for up to this many recent jobs of equal size.
+  double arrival_doubt = 6;
+  // Room kept for jobs that can't wait for a boot: their mean load plus this many standard
+  // deviations.
+  double ready_spread = 2;
+  // That room is zero for up to this many recent jobs of equal size.
+  double ready_doubt = 2;
+  // A machine that has not booted within this multiple of its boot time is released.
   double boot_patience = 1.8;
+  // An offer that the cloud refused is not requested again for this long.
   Micros refusal_memory = Seconds(20);
-  Micros stuck_after =
-      Seconds(300);  // a job that has not moved for this long, at least, is looked at
+  // A job without progress for at least this long is checked for being stuck.
+  Micros stuck_after = Seconds(300);
+  // Maximum number of a job's tasks in machines' queues.
   int bind_window = 1024;
   CellsPlan cells;
-  // Teams of equal rank share what there is not enough of: one that has more than so many times
-  // the mean share of those that have or want something goes after the others.
+  // Teams share scarce resources at equal priority. A team whose share exceeds this multiple of the
+  // mean, over the teams that use or want resources, goes after the others.
   double fair_margin = 1.1;
-  Micros reclaim_wait = Seconds(4);    // a guarantee that is short for so long is given by stopping
-  double reclaim_share = 2;            // of a guarantee, at most, is stopped for it in a minute
-  Micros limit_patience = Seconds(3);  // then work of lower rank makes way under a team's limit
+  // A team that has been short of its guarantee for this long preempts tasks of other teams.
+  Micros reclaim_wait = Seconds(4);
+  // Maximum amount preempted for a guarantee per minute, as a multiple of the guarantee.
+  double reclaim_share = 2;
+  // A gang that its team's limit has blocked for this long preempts the team's work of lower
+  // priority.
+  Micros limit_patience = Seconds(3);
 };
 
 }  // namespace badgershore
--- a/src/core/model/time.h
+++ b/src/core/model/time.h
@@ -1,4 +1,4 @@
-// The one type for times and spans inside the program: whole microseconds.
+// The type of all points in time and durations: whole microseconds.
 #pragma once
 
 #include <cmath>
--- a/src/core/model/types.h
+++ b/src/core/model/types.h
@@ -1,4 +1,4 @@
-// What the core talks about: jobs, machines, teams, durable records.
+// Basic types of the core: resources, jobs, machine types, durable records and their keys.
 #pragma once
 
 #include <algorithm>
@@ -14,7 +14,7 @@
 
 namespace badgershore {
 
-// Thousandths of a CPU and of an accelerator, and MiB-like thousandths of a GB.
+// Thousandths of a CPU, of an accelerator and of a GB of memory.
 struct Resources {
   int64_t cpu = 0;
   int64_t gpu = 0;
@@ -27,7 +27,7 @@
   Resources operator-(const Resources& o) const { return {cpu - o.cpu, gpu - o.gpu, mem - o.mem}; }
   Resources Times(int64_t n) const { return {cpu * n, gpu * n, mem * n}; }
   bool operator==(const Resources&) const = default;
-  // How many tasks of size `each` go into this room.
+  // Number of tasks of size `each` that fit into these resources.
   int64_t Holds(const Resources& each) const {
     int64_t n = INT32_MAX;
     if (each.cpu > 0) n = std::min(n, cpu / each.cpu);
@@ -37,7 +37,7 @@
   }
 };
 
-// The amount in cores: "4", or "0.250" where it is not a whole number.
+// Formats the amount in cores: "4", or "0.250" if it is not a whole number.
 inline std::string CoresText(int64_t millicores) {
   constexpr int64_t kPerCore = 1000;
   const std::string whole = std::to_string(millicores / kPerCore);
@@ -67,7 +67,7 @@
   Micros checkpoint_interval;
   Micros checkpoint_duration;
   std::optional<Micros> deadline;
-  int64_t submitted_ms = 0;  // time of day, for ages across restarts
+  int64_t submitted_ms = 0;  // time of day, so that the job's age survives a failover
   bool operator==(const JobSpec&) const = default;
 };
 
@@ -99,7 +99,7 @@
 struct ProgressChunk {
   std::string job;
   int chunk = 0;
-  std::string bits;  // which tasks of the chunk are done, one hex digit for four
+  std::string bits;  // bitmap of the chunk's finished tasks, one hex digit for four tasks
 };
 struct ProgressPage {
   std::vector<ProgressChunk> chunks;
@@ -125,8 +125,8 @@
 inline const std::string kControl = "ctl/";
 inline const std::string kLeader = "ctl/lead";
 inline const std::string kTerm = "ctl/term";
-inline const std::string kSuccessor =
-    "ctl/next";  // whom the last leader named when it gave up its place
+// The successor that the last leader named in its handover.
+inline const std::string kSuccessor = "ctl/next";
 inline const std::string kTypes = "ctl/types";
 inline const std::string kType = "ctl/type/";
 inline const std::string kJob = "job/";
--- a/src/core/outbox/key_range_cache.cpp
+++ b/src/core/outbox/key_range_cache.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Micros kRetryDelay = Millis(300);
-constexpr Micros kBatchDelay = Millis(40);  // lets one watch carry a burst of changes
+constexpr Micros kBatchDelay = Millis(40);  // lets one watch response carry a burst of changes
 constexpr int kFailuresBeforeList = 8;
 
 }  // namespace
@@ -34,7 +34,7 @@
   if (listing_) {
     request.kind = StateRequest::Kind::kList;
     request.start_after = page_after_;
-    if (page_after_.empty()) sent_at_ = now;  // a list is as old as its first page
+    if (page_after_.empty()) sent_at_ = now;  // a list is only as recent as its first page
   } else {
     sent_at_ = now;
     request.kind = StateRequest::Kind::kWatch;
@@ -64,8 +64,8 @@
 
 void KeyRangeCache::OnFailure(Micros now, const StateResponse& response) {
   retry_at_ = now + kRetryDelay;
-  // The changes may be too many for one watch answer, which then never gets through; a list comes
-  // in pages. In an outage the list fails as the watch would.
+  // The changes may be too many for one watch response, so that the watch never succeeds; a list is
+  // paged. During an outage the list fails just as the watch would.
   if (response.outcome != StateResponse::Outcome::kRefused && ++failures_ >= kFailuresBeforeList &&
       !listing_) {
     failures_ = 0;
@@ -82,7 +82,7 @@
 }
 
 void KeyRangeCache::OnListPage(Micros now, const StateResponse& response) {
-  // The watch begins at the first page's revision, so no change between the pages is missed.
+  // The watch starts at the revision of the first page, so no change between pages is missed.
   if (page_after_.empty()) {
     first_page_revision_ = response.revision;
     listed_keys_.clear();
--- a/src/core/outbox/key_range_cache.h
+++ b/src/core/outbox/key_range_cache.h
@@ -10,8 +10,9 @@
 
 namespace badgershore {
 
-// Lists the prefix once, then watches it for changes. Lists again when the state service has
-// compacted the changes in between. Holds the keys only; values go to the entry callback.
+// Lists the prefix once, then watches it for changes. Lists it again if the state service has
+// compacted the revisions since the last watch. Stores only the keys; values are passed to the
+// entry callback.
 class KeyRangeCache {
  public:
   // Called for each entry that is new, changed or deleted.
@@ -19,20 +20,21 @@
   // Called after each complete list.
   using OnSynced = std::function<void(Micros)>;
 
-  // `watch_wait`: how long the state service holds a watch without changes, and so how old
-  // known_as_of() gets while nothing changes.
+  // `watch_wait`: how long the state service holds a watch that has no changes. While nothing
+  // changes, known_as_of() becomes this old.
   KeyRangeCache(Outbox* outbox, std::string prefix, OnEntry on_entry, OnSynced on_synced,
                 Micros watch_wait = Seconds(10));
   ~KeyRangeCache();
 
   // Sends the next list or watch when none is in flight and no retry delay is pending.
   void Tick(Micros now);
-  // A list has completed and no compaction has been reported since.
+  // Whether a list has completed and no compaction has been reported since.
   bool synced() const { return synced_; }
-  // Every change recorded before this moment has been applied: the send time (not the arrival) of
-  // the last list or watch whose answer was applied whole. Long ago before the first.
+  // Every change that was recorded before this time has been applied. It is the send time (not the
+  // arrival time) of the last list or watch whose response was fully applied, and far in the past
+  // before the first one.
   Micros known_as_of() const { return known_as_of_; }
-  // The state service's revision up to which changes have been applied.
+  // Revision of the state service up to which changes have been applied.
   uint64_t revision() const { return revision_; }
 
  private:
@@ -41,7 +43,7 @@
   void OnFailure(Micros now, const StateResponse& response);
   void OnWatchResponse(Micros now, const StateResponse& response);
   void OnListPage(Micros now, const StateResponse& response);
-  // Reports the keys that the finished list did not contain as deleted.
+  // Reports known keys that the completed list did not contain as deleted.
   void DeleteUnlisted(Micros now, uint64_t revision);
   void RestartList();
   void Apply(Micros now, const Entry& entry);
--- a/src/core/outbox/outbox.h
+++ b/src/core/outbox/outbox.h
@@ -9,15 +9,16 @@
 
 namespace badgershore {
 
-// Collects what the core wants done outside (see Effects) and routes each response to the callback
-// of the request with its id. Callbacks run inside Deliver, on the caller's thread.
+// Collects the core's outgoing requests and other effects (see Effects), and routes each response
+// to the callback of the request with the same id. Callbacks run inside Deliver, on the caller's
+// thread.
 class Outbox {
  public:
   using OnState = std::function<void(Micros now, StateResponse&)>;
   using OnCloud = std::function<void(Micros now, CloudResponse&)>;
   using OnCommand = std::function<void(Micros now, CommandResponse&)>;
 
-  // Not yet carried out; the owner takes them after each input.
+  // Pending effects; the owner takes and carries them out after each input.
   Effects effects;
 
   // Queue a request under a new id; `on_response` is called at most once.
@@ -25,7 +26,7 @@
   void SendCloud(CloudRequest request, OnCloud on_response);
   void SendCommand(CommandRequest request, OnCommand on_response);
 
-  // Pass a response to the callback of request `id`. Unknown or repeated ids are ignored.
+  // Pass a response to the callback of request `id`. Unknown and duplicate ids are ignored.
   void Deliver(Micros now, RequestId id, StateResponse& response);
   void Deliver(Micros now, RequestId id, CloudResponse& response);
   void Deliver(Micros now, RequestId id, CommandResponse& response);
