--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -89,7 +89,7 @@
   Micros resolve_soon = Seconds(1.2);
   // A machine that was idle for this many boot times is released.
   double idle_boots = 0.6;
-  // The same for machines most of which a gang's member needs.
+  // The same for machines of which a gang member needs more than half.
   double gang_idle_boots = 1.2;
   // Number of machines that are kept even if idle.
   int keep_machines = 0;
@@ -114,8 +114,8 @@
   // Maximum number of a job's tasks in machines' queues.
   int bind_window = 1024;
   CellsPlan cells;
-  // Teams share scarce resources at equal priority. A team whose share exceeds this multiple of the
-  // mean, over the teams that use or want resources, goes after the others.
+  // Among jobs of equal priority, those of a team whose dominant share exceeds this multiple of the
+  // mean, over the teams that use or want resources, start after the others.
   double fair_margin = 1.1;
   // A team that has been short of its guarantee for this long preempts tasks of other teams.
   Micros reclaim_wait = Seconds(4);
--- a/src/core/placement/array_capacity.cpp
+++ b/src/core/placement/array_capacity.cpp
@@ -9,7 +9,7 @@
 
 // A unit price up to this multiple of the lowest counts as the lowest.
 constexpr double kNearCheapestFactor = 1.6;
-// A machine that is late to boot is expected after this share of its type's boot time.
+// A machine whose boot is overdue is expected to be up after this share of its type's boot time.
 constexpr double kOverdueBootShare = 0.1;
 
 InstanceOffer OfferOf(const Machine& m) { return {m.type_name, m.zone, m.spot}; }
--- a/src/core/placement/array_capacity.h
+++ b/src/core/placement/array_capacity.h
@@ -1,5 +1,5 @@
-// What machines offer to arrays and services, in thousandths of a CPU that tasks like the typical
-// job's can use.
+// Capacity of machines for arrays and services, in thousandths of a CPU that tasks like those of
+// the typical job can use.
 #pragma once
 
 #include <string>
@@ -10,21 +10,22 @@
 
 namespace badgershore {
 
-// Capacity of machines and offers for tasks of one job.
+// Measures the capacity of machines and offers for tasks like those of one job.
 class CapacityMeter {
  public:
-  // `typical`: null when there is no job, and all capacity is zero. Both must outlive this.
+  // `typical`: null if there is no job; all capacities are zero then. Both must outlive this.
   CapacityMeter(const ScalingSnapshot& snapshot, const Job* typical);
 
-  // Of an empty machine.
+  // Capacity of an empty machine.
   double Of(const MachineType& type, const std::string& zone, bool spot) const;
-  // Of what gangs leave of the machine.
+  // Capacity of the resources that gangs do not use on the machine.
   double Of(const Machine& machine) const;
-  // Price of a machine per hour and unit of its capacity, which is positive.
+  // Price of a machine per hour and unit of its capacity, which must be positive.
   double UnitPrice(const Machine& machine, double capacity) const;
-  // Whether the price is about the lowest one for the typical job's tasks.
+  // Whether the unit price is near the lowest one for the typical job's tasks.
   bool IsNearCheapest(double unit_price) const;
-  // Whether the offer, of this capacity, costs about the lowest price there is.
+  // Whether the unit price of the offer or machine, which has this capacity, is near the lowest
+  // one.
   bool IsNearCheapest(const InstanceOffer& offer, double capacity) const;
   bool IsNearCheapest(const Machine& machine, double capacity) const;
   bool HasTypicalJob() const { return typical_ != nullptr; }
@@ -34,7 +35,7 @@
 
   const ScalingSnapshot& snapshot_;
   const Job* typical_;
-  double lowest_unit_price_ = 0;  // 0: no type can hold the tasks
+  double lowest_unit_price_ = 0;  // 0 if no type can hold the tasks
 };
 
 struct BootingCapacity {
@@ -43,11 +44,11 @@
   bool near_cheapest = false;
 };
 
-// Capacity of the machines that take work or will, once booted.
+// Capacity of the machines that accept work now or once they have booted.
 struct ArrayCapacity {
   double total = 0;
   double up = 0;
-  double cheap_total = 0;  // of machines near the lowest price
+  double cheap_total = 0;  // of machines near the lowest unit price
   double cheap_up = 0;
   std::vector<BootingCapacity> booting;
 };
--- a/src/core/placement/array_demand.cpp
+++ b/src/core/placement/array_demand.cpp
@@ -34,7 +34,7 @@
   (*parallel_cpu)[job.team] += static_cast<double>(job.WantedTasks()) * cpu;
 }
 
-// A team never uses more than its quota at once, however much of its work waits.
+// A team never uses more than its quota at once, no matter how much of its work is waiting.
 void ApplyQuotas(const ScalingSnapshot& snapshot, CpuByTeam* parallel_cpu) {
   if (!snapshot.team_cpu_limit) return;
   for (auto& [team, cpu] : *parallel_cpu) {
--- a/src/core/placement/array_scale_out.cpp
+++ b/src/core/placement/array_scale_out.cpp
@@ -15,7 +15,7 @@
   RequestMachines(&shortfall, *capacity);
 }
 
-// Draining machines cost no boot.
+// Draining machines are used first, since they need no time to boot.
 void ArrayScaleOutPlanner::Undrain(ArrayShortfall* shortfall, ArrayCapacity* capacity) {
   for (Machine* m : snapshot_.machines) {
     if (shortfall->cheap_deficit <= 0) return;
@@ -43,8 +43,8 @@
   for (const auto& [offer, count] : requested) decision_->scale_out.push_back({offer, count});
 }
 
-// The offer with the lowest price for what is used of it. Dearer ones are worth it only for work
-// that would be late otherwise.
+// The offer with the lowest price per unit of capacity that would be used. Offers that are not near
+// the lowest unit price are requested only for work that would be late otherwise.
 ArrayScaleOutPlanner::Choice ArrayScaleOutPlanner::ChooseOffer(
     const std::vector<InstanceOffer>& offers, const ArrayShortfall& shortfall,
     const ArrayCapacity& capacity) const {
@@ -67,7 +67,7 @@
   return best;
 }
 
-// Whether the machines that are up may have done all waiting work when a new one has booted.
+// Whether the machines that are up can finish all waiting work before a new machine has booted.
 bool ArrayScaleOutPlanner::IsDoneBeforeBoot(const MachineType& type,
                                             const ArrayCapacity& capacity) const {
   return capacity.up > 0 && demand_.service_cpu == 0 &&
@@ -84,7 +84,8 @@
   }
 }
 
-// Any machine asked for in this decision counts: the next decision sees what it can hold.
+// Any machine requested in this decision counts, even for another job: whether the job fits on it
+// is checked in the next decision.
 bool ArrayScaleOutPlanner::HasMachineFor(const Job& job) const {
   if (!decision_->scale_out.empty()) return true;
   for (const Machine* m : snapshot_.machines) {
--- a/src/core/placement/array_scale_out.h
+++ b/src/core/placement/array_scale_out.h
@@ -1,4 +1,4 @@
-// Machines for arrays and services: what to undrain and what to ask the cloud for.
+// Scale-out for arrays and services: which machines to undrain and which to request from the cloud.
 #pragma once
 
 #include "core/placement/array_capacity.h"
@@ -9,7 +9,7 @@
 
 namespace badgershore {
 
-// Plans one decision.
+// Plans one scaling decision.
 class ArrayScaleOutPlanner {
  public:
   // All arguments must outlive this. Changes are added to `decision`.
@@ -18,16 +18,17 @@
                        ScalingDecision* decision)
       : snapshot_(snapshot), offers_(offers), meter_(meter), demand_(demand), decision_(decision) {}
 
-  // Makes up the shortfall: by undrained machines first, whose capacity is added to `capacity`,
-  // then by new ones.
+  // Covers the shortfall, first by undraining machines, whose capacity is added to `capacity`, then
+  // by requesting new ones.
   void Plan(ArrayShortfall shortfall, ArrayCapacity* capacity);
-  // Asks for a machine for each job that no machine at hand may hold. The shortfall speaks only of
-  // tasks like the typical job's. Call it after Plan().
+  // Requests a machine for each job that can't run on any current or requested machine. The
+  // shortfall does not show this, because it is measured with the tasks of the typical job. Call it
+  // after Plan().
   void PlanForUnplaceableJobs();
 
  private:
   struct Choice {
-    const InstanceOffer* offer = nullptr;  // null: none is worth its price
+    const InstanceOffer* offer = nullptr;  // null if no offer is worth its price
     double capacity = 0;
   };
   void Undrain(ArrayShortfall* shortfall, ArrayCapacity* capacity);
--- a/src/core/placement/array_shortfall.cpp
+++ b/src/core/placement/array_shortfall.cpp
@@ -6,7 +6,7 @@
 namespace badgershore {
 namespace {
 
-// On machines near the lowest price, work starts at most this long after a boot.
+// Work on machines near the lowest unit price is to start at most this long after a boot.
 constexpr Micros kCheapStartDelay = Seconds(5);
 
 enum class PriceRange { kAny, kNearCheapest };
@@ -16,7 +16,8 @@
   double deficit = 0;
 };
 
-// Work that the machines that exist can do until a due time, beside services and new arrivals.
+// Work that the existing machines can do until a due time, in addition to services and expected
+// arrivals.
 double AchievableWork(const ArrayDemand& demand, const ArrayCapacity& capacity, PriceRange range,
                       double seconds) {
   const double up = range == PriceRange::kNearCheapest ? capacity.cheap_up : capacity.up;
@@ -28,8 +29,8 @@
   return work;
 }
 
-// Seconds that a machine requested now can work until the due time: after its boot, and only in
-// whole tasks.
+// Seconds for which a machine requested now can work until the due time: after its boot, rounded
+// down to whole tasks.
 double UsefulSeconds(const DueWork& due, Micros boot) {
   const double seconds = due.remaining.ToSeconds() - boot.ToSeconds();
   const double runtime = std::max(1.0, due.estimated_runtime.ToSeconds());
--- a/src/core/placement/array_shortfall.h
+++ b/src/core/placement/array_shortfall.h
@@ -1,4 +1,4 @@
-// How much capacity the demand of arrays and services lacks, in thousandths of a CPU.
+// Capacity that is missing for the demand of arrays and services, in thousandths of a CPU.
 #pragma once
 
 #include "core/placement/array_capacity.h"
@@ -7,17 +7,17 @@
 
 namespace badgershore {
 
-// Positive deficits are to be made up; negative ones are spare capacity.
+// Positive deficits must be covered by scale-out; negative deficits are spare capacity.
 struct ArrayShortfall {
-  double required = 0;  // capacity that meets all due times
-  double deficit = 0;   // what is missing of it, of machines at any price
-  // What is missing of machines near the lowest price, on which work is done as soon as possible:
-  // that costs the same whenever it is done. At least `deficit`.
+  double required = 0;  // capacity with which all work is done by its due time
+  double deficit = 0;   // the part that is missing, on machines of any price
+  // Missing capacity of machines near the lowest unit price. There, work is done as soon as
+  // possible, since it costs the same at any time. At least `deficit`.
   double cheap_deficit = 0;
-  double urgent_reserve = 0;  // capacity to keep for work that can't wait for a machine to boot
+  double urgent_reserve = 0;  // capacity kept for work that can't wait for a machine to boot
 };
 
-// The forecast must be decayed to the snapshot's time. Moves the demand's due times.
+// The forecast must have been decayed to the snapshot's time. Modifies the due times in `demand`.
 ArrayShortfall MeasureArrayShortfall(ArrayDemand* demand, const ArrayCapacity& capacity,
                                      const UrgentLoadForecast& urgent_load, const Options& options);
 
--- a/src/core/placement/arrival_forecast.cpp
+++ b/src/core/placement/arrival_forecast.cpp
@@ -15,7 +15,7 @@
   return std::exp(-age.ToSeconds() / window.ToSeconds());
 }
 
-// The same for an arrival, which may lie in the future by clock skew.
+// The same for an arrival, whose time may be in the future because of clock skew.
 double ArrivalWeight(Micros arrived, Micros now, Micros window) {
   return std::exp(-std::max(0.0, (now - arrived).ToSeconds()) / window.ToSeconds());
 }
@@ -38,7 +38,7 @@
 
 double ArrivalRateForecast::LowerBound(double min_jobs) const {
   if (sum_ <= 0) return 0;
-  // How many jobs of equal size would vary as much: a few large jobs predict little.
+  // Number of jobs of equal size with the same relative variance: a few large jobs predict little.
   const double equal_jobs = sum_ * sum_ / squares_;
   return sum_ / kRateWindow.ToSeconds() * std::max(0.0, 1 - min_jobs / equal_jobs);
 }
@@ -60,7 +60,8 @@
   decayed_at_ = now;
 }
 
-// Total weight of the observed time: shorter than the window until it has been observed in full.
+// Total weight of the observed time, which is less than the window until a full window has been
+// observed.
 double UrgentLoadForecast::WindowSeconds() const {
   const double observed =
       first_arrival_at_ < kNever
--- a/src/core/placement/arrival_forecast.h
+++ b/src/core/placement/arrival_forecast.h
@@ -1,4 +1,4 @@
-// Forecasts of the load by arrays from the jobs that arrived of late.
+// Forecasts of the load by arrays, from recent job arrivals.
 #pragma once
 
 #include "core/model/time.h"
@@ -12,8 +12,8 @@
   void Add(double work, Micros arrived, Micros now);
   // Ages the samples to `now`. Call it before LowerBound().
   void Decay(Micros now);
-  // Work per second that is likely to keep arriving: the mean, reduced for its variance. Zero when
-  // there were no more than `min_jobs` arrivals of equal size.
+  // Work per second that is likely to keep arriving: the mean, reduced according to its variance.
+  // Zero for up to `min_jobs` arrivals of equal size.
   double LowerBound(double min_jobs) const;
 
  private:
@@ -22,19 +22,19 @@
   Micros decayed_at_;
 };
 
-// Load by jobs that can't wait for a machine to boot, if none of them ever queued.
+// Load by jobs that can't wait for a machine to boot, assuming that they never queue.
 class UrgentLoadForecast {
  public:
   // `cpus`: of all tasks, in thousandths. `seconds`: estimated runtime.
   void Add(double cpus, double seconds, Micros arrived, Micros now);
-  // Ages the samples to `now`. Call it before the measures below.
+  // Ages the samples to `now`. Call it before the functions below.
   void Decay(Micros now);
-  // Thousandths of a CPU in use at once: jobs that arrive at random and never queue form an
-  // M/G/infinity queue, whose mean is the work that arrives per second and whose variance is the
-  // sum of the squared sizes.
+  // Mean and standard deviation of the thousandths of a CPU in use at once. Jobs that arrive at
+  // random and never queue form an M/G/infinity queue, whose mean is the work that arrives per
+  // second and whose variance is the sum of the squared sizes.
   double Mean() const;
   double StandardDeviation() const;
-  // From 0, when there were no more than `min_jobs` arrivals of equal size, to 1.
+  // Between 0, for up to `min_jobs` arrivals of equal size, and 1.
   double Confidence(double min_jobs) const;
 
  private:
@@ -42,7 +42,7 @@
 
   double work_ = 0;          // sum of CPU seconds
   double work_squares_ = 0;  // sum of squared CPU seconds
-  double cpu_squares_ = 0;   // sum of squared CPUs, times the seconds that each job runs
+  double cpu_squares_ = 0;   // sum of squared CPUs times the seconds that each job runs
   Micros decayed_at_;
   Micros first_arrival_at_ = kNever;
 };
--- a/src/core/placement/autoscaler.cpp
+++ b/src/core/placement/autoscaler.cpp
@@ -10,7 +10,8 @@
 namespace badgershore {
 namespace {
 
-// A job may wait for a machine that is requested when it arrives if it has this many boot times.
+// A job is urgent if it must start within this many boot times of its arrival: otherwise it can
+// wait for a machine that is requested when it arrives.
 constexpr double kUrgentSlackBoots = 1.5;
 constexpr double kUrgentLoadSlack = 1.1;
 constexpr double kUnitsPerCpu = 1000;
--- a/src/core/placement/autoscaler.h
+++ b/src/core/placement/autoscaler.h
@@ -1,5 +1,5 @@
-// Decides which machines to ask the cloud for and which to give up, from the unfinished jobs, the
-// recent arrivals and the fleet.
+// Decides which machines to request and which to release, from the unfinished jobs, recent arrivals
+// and the fleet.
 #pragma once
 
 #include <string>
@@ -15,38 +15,38 @@
 
 namespace badgershore {
 
-// One per term; a new leader rebuilds the forecasts from the jobs it reads.
+// Created for each term. A new leader rebuilds the forecasts from the jobs that it reads.
 class Autoscaler {
  public:
   explicit Autoscaler(const Options& options) : options_(options), offers_(options) {}
 
-  // Changes nothing in the fleet: the caller carries the decision out.
+  // Does not change the fleet: the caller carries out the decision.
   ScalingDecision Decide(const ScalingSnapshot& snapshot);
-  // The cloud could not provide all machines of this kind that were asked for.
+  // Called when the cloud could not provide all requested machines of this offer.
   void RecordRefusal(const InstanceOffer& offer, Micros now) { offers_.RecordRefusal(offer, now); }
 
-  // A job has been accepted, or read by a new leader, which learns of earlier arrivals only by the
-  // jobs that are unfinished.
+  // Called when a job is accepted, or read by a new leader, which knows earlier arrivals only from
+  // unfinished jobs.
   void RecordArrayArrival(const JobSpec& spec, Micros arrived, Micros now);
-  // The same for the load that can't wait for a machine to boot. `slack`: how long after its
-  // arrival the job may start; ignored when it can wait for a boot, or is no array.
+  // The same for load that can't wait for a machine to boot. `slack`: how long after its arrival
+  // the job may start. Ignores jobs that can wait for a boot or are not arrays.
   void RecordUrgentArrival(const JobSpec& spec, Micros slack, Micros boot, Micros arrived,
                            Micros now);
-  // The same for a gang. Call RecordGangDemand() too.
+  // The same for a gang. Also call RecordGangDemand().
   void RecordGangArrival(const JobSpec& spec, Micros at) { gangs_.RecordArrival(spec, at); }
-  // A gang of this kind arrived or waits for machines.
+  // Called when a gang arrives, and while it waits for machines.
   void RecordGangDemand(const JobSpec& spec, Micros now) { gangs_.RecordDemand(spec, now); }
 
-  // Time from the job's arrival until it is to be complete: its deadline, else `share` of its
+  // Time from the job's arrival until it should be complete: its deadline, else `share` of its
   // class's objective, else a default.
   Micros CompletionTarget(const JobSpec& spec, const std::vector<Objective>& objectives,
                           double share) const;
-  // Whether gangs that arrived of late may preempt the job's tasks on such a machine.
+  // Whether gangs of a recently seen kind may preempt the job's tasks on such a machine.
   bool MayBePreemptedByGangs(const JobSpec& spec, const MachineType& type, const std::string& zone,
                              bool spot, Micros now) const {
     return gangs_.MayPreempt(spec, type, zone, spot, now);
   }
-  // The measures behind the last decision, for the log.
+  // The measurements behind the last decision, for the log.
   std::string Summary() const { return summary_; }
 
  private:
--- a/src/core/placement/gang_scale_out.cpp
+++ b/src/core/placement/gang_scale_out.cpp
@@ -5,13 +5,14 @@
 namespace badgershore {
 namespace {
 
-// A running gang is taken to end soon within these shares of its estimated runtime.
+// A running gang is expected to end soon if its runtime so far is between these shares of its
+// estimate.
 constexpr double kEndsSoonFrom = 0.8;
 constexpr double kEndsSoonUntil = 1.3;
 
 // Room for gangs on a machine.
 struct MachineRoom {
-  Machine* machine = nullptr;  // null: not there yet
+  Machine* machine = nullptr;  // null if it has only been requested
   const MachineType* type = nullptr;
   std::string zone;
   bool spot = false;
@@ -24,7 +25,7 @@
   auto operator<=>(const TeamPriority&) const = default;
 };
 
-// The highest priority among gangs that wait or are expected.
+// The highest priority among waiting and expected gangs.
 Priority HighestGangPriority(const ScalingSnapshot& snapshot, const GangForecast& forecast) {
   Priority highest = Priority::kIdle;
   for (const Job* job : snapshot.jobs) {
@@ -36,7 +37,7 @@
   return highest;
 }
 
-// Whether the gang's room will be free before a new machine would be up.
+// Whether the gang's room will probably be free before a new machine would be up.
 bool EndsSoon(const Allocation& allocation, Micros now) {
   const Job& job = *allocation.job;
   if (!job.IsGang() || allocation.phase != TaskPhase::kRunning) return false;
@@ -45,7 +46,7 @@
          ran < job.spec.estimated_runtime.Scaled(kEndsSoonUntil);
 }
 
-// Whether a gang of this priority can't use the allocation's room.
+// Whether the allocation's room is not available to gangs of this priority.
 bool BlocksGangs(const Allocation& allocation, Priority priority, Micros now) {
   if (allocation.exited()) return false;
   if (!allocation.job) return true;
@@ -64,7 +65,7 @@
         options_(options),
         decision_(decision) {}
 
-  // Returns how many members wait.
+  // Returns the number of waiting gang members.
   int Plan() {
     CollectRooms();
     const int waiting = ProvideForWaiting();
@@ -103,8 +104,8 @@
     return waiting;
   }
 
-  // Gangs are to wait for less than a boot takes, so the room has to exist before they arrive.
-  // Until then arrays use it, and can be preempted.
+  // Gangs should wait for less than a boot time, so the room must exist before they arrive. Until
+  // then arrays use it and can be preempted.
   void ProvideForExpected() {
     for (const auto& [job_class, demand] : forecast_.by_job_class()) {
       if (demand.arrivals.empty()) continue;
@@ -141,8 +142,8 @@
     rooms_.push_back({nullptr, &type, cheapest->zone, cheapest->spot, type.size - spec.need});
   }
 
-  // Takes the members' CPU from the team's headroom; false when that does not suffice: what the
-  // quota keeps from starting needs no machine.
+  // Deducts the members' CPU from the team's headroom; false if that is not enough: members that
+  // the quota keeps from starting need no machines.
   bool TakeQuota(int team, const JobSpec& spec, int members) {
     if (!snapshot_.gang_cpu_headroom) return true;
     int64_t& taken = quota_taken_[{team, spec.priority}];
--- a/src/core/placement/gang_scale_out.h
+++ b/src/core/placement/gang_scale_out.h
@@ -1,4 +1,4 @@
-// Machines for gangs that wait or are expected.
+// Scale-out for waiting and expected gangs.
 #pragma once
 
 #include "core/placement/gang_forecast.h"
@@ -7,8 +7,9 @@
 
 namespace badgershore {
 
-// Finds room for each member, on machines that exist where possible: those are reserved, and
-// undrained if necessary. Asks for machines for the others. Returns how many members wait.
+// Finds room for each member, preferably on existing machines, which are then reserved and, if
+// necessary, undrained. Requests machines for the other members. Returns the number of waiting
+// members.
 int ScaleOutForGangs(const ScalingSnapshot& snapshot, const GangForecast& forecast,
                      const InstanceOffers& offers, const Options& options,
                      ScalingDecision* decision);
--- a/src/core/placement/guardrails.cpp
+++ b/src/core/placement/guardrails.cpp
@@ -11,7 +11,7 @@
 constexpr double kMinBucketSeconds = 0.001;
 constexpr double kMinWorkSeconds = 0.1;
 
-// The bucket of one second, so that shorter tasks have buckets, too.
+// Bucket of tasks that run for one second; the buckets below it are for shorter tasks.
 constexpr int kOneSecondBucket = 16;
 
 }  // namespace
@@ -56,10 +56,10 @@
   return &machines_[turn.index];
 }
 
-// Tasks of the job that the machine can start beside what runs and is queued there.
+// Number of the job's tasks that the machine can start in addition to its running and queued tasks.
 int64_t LeastWorkPolicy::FreePlaces(const Machine& m) const {
   Resources taken = m.Used();
-  // Stops at the first jobs that fill the machine: under load its queue has hundreds of them.
+  // Stops as soon as the machine is full: under load its queue has hundreds of jobs.
   for (const auto& [key, entry] : m.queue) {
     if (!job_.spec.need.Fits(m.type->size - taken)) break;
     taken = taken + entry.job->spec.need.Times(static_cast<int64_t>(entry.tasks.size()));
--- a/src/core/placement/instance_offers.h
+++ b/src/core/placement/instance_offers.h
@@ -1,4 +1,4 @@
-// Instance offers that may be asked for: constraints, prices and recent refusals.
+// Instance offers that may be requested, considering job constraints, prices and recent refusals.
 #pragma once
 
 #include <map>
@@ -8,12 +8,12 @@
 
 namespace badgershore {
 
-// Offers that the cloud has not refused of late.
+// Selects offers that the cloud has not refused recently.
 class InstanceOffers {
  public:
   explicit InstanceOffers(const Options& options) : options_(options) {}
 
-  // Leaves the offer out for `Options::refusal_memory`.
+  // Excludes the offer for `Options::refusal_memory`.
   void RecordRefusal(const InstanceOffer& offer, Micros now);
   // Offers whose machines may hold a task of the job, ordered by type, zone and spot.
   std::vector<InstanceOffer> For(const ScalingSnapshot& snapshot, const JobSpec& spec) const;
@@ -28,12 +28,12 @@
 // Price of an instance per hour. Its type must be in the snapshot.
 double HourlyPrice(const ScalingSnapshot& snapshot, const InstanceOffer& offer);
 
-// The first offer with the lowest price; null when there are no offers.
+// The first offer with the lowest price; null if there are no offers.
 const InstanceOffer* CheapestOffer(const ScalingSnapshot& snapshot,
                                    const std::vector<InstanceOffer>& offers);
 
-// Whether the machine is of a known type and will not disappear soon. It may still be booting or
-// draining.
+// Whether the machine has a known type and is neither terminating nor about to be preempted. It may
+// still be booting or draining.
 bool IsUsable(const Machine& machine);
 
 }  // namespace badgershore
--- a/src/core/placement/scale_in.cpp
+++ b/src/core/placement/scale_in.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Micros kMinBilledTime = Seconds(60);
-// No machine is drained for so long into a term: its jobs are not all known yet.
+// No machine is drained this early in a term, since not all jobs are known yet.
 constexpr Micros kTermSettleTime = Seconds(20);
 constexpr double kRequiredCapacitySlack = 1.2;
 
@@ -62,11 +62,13 @@
          gang_forecast_.NeedsMostOf(*machine.type, machine.zone, machine.spot, snapshot_.now);
 }
 
-// Releases or keeps an idle machine; false when it has not been idle for long enough.
+// Decides on an idle machine: true if it is released now or must be kept, false if it may still be
+// drained.
 bool ScaleInPlanner::DecideIdle(Machine* machine, bool held_for_gangs) {
   const double capacity = meter_.Of(*machine);
   const bool near_cheapest = !machine->draining && meter_.IsNearCheapest(*machine, capacity);
-  // By idle time alone the cheap machines would go and the dear ones, which came later, stay.
+  // By idle time alone, the cheap machines would be released and the expensive ones, which were
+  // added later, would stay.
   if (near_cheapest && cheap_capacity_left_ - capacity < limits_.urgent_reserve) return true;
   if (!machine->draining && removable_ <= 0) return true;
   const Micros idle_limit =
@@ -80,8 +82,9 @@
   return true;
 }
 
-// Drains the dearest machines, of equal ones those that will be empty soonest. One near the lowest
-// price stays while there is work for it, a dearer one only while work would be late without it.
+// Drains the most expensive machines first, and among equal ones those with the fewest tasks. A
+// machine near the lowest unit price stays while there is work for it, a more expensive one only
+// while work would be late without it.
 void ScaleInPlanner::Drain() {
   std::sort(candidates_.begin(), candidates_.end(), [](const Candidate& a, const Candidate& b) {
     return std::make_tuple(-a.unit_price, a.tasks, a.machine->id) <
--- a/src/core/placement/scale_in.h
+++ b/src/core/placement/scale_in.h
@@ -1,4 +1,4 @@
-// Machines that are not needed any more: idle ones are released, others drained.
+// Scale-in: idle machines that are no longer needed are released, others are drained.
 #pragma once
 
 #include <string>
@@ -12,11 +12,12 @@
 
 namespace badgershore {
 
-// Required capacity, of which past peaks decay slowly: a machine that is released and asked for
-// again pays its boot twice.
+// Required capacity as a peak value that decays slowly. Releasing a machine too early and
+// requesting it again would cost a second boot.
 class RequiredCapacityPeak {
  public:
-  // Returns the decayed peak, no less than `required` and some slack. `boot` is the time constant.
+  // Returns the decayed peak, which is at least `required` plus some slack. `boot` is the time
+  // constant of the decay.
   double Update(double required, Micros now, Micros boot);
 
  private:
@@ -24,18 +25,20 @@
   Micros updated_at_;
 };
 
-// Capacity that scale-in has to leave, in thousandths of a CPU.
+// Capacity that scale-in must keep, in thousandths of a CPU.
 struct ScaleInLimits {
-  double urgent_reserve = 0;     // of machines near the lowest price
-  double required_capacity = 0;  // of all machines
-  double running_cpu = 0;        // in use; machines near the lowest price stay while it needs them
+  double urgent_reserve = 0;     // on machines near the lowest unit price
+  double required_capacity = 0;  // on all machines
+  // CPU in use. Machines near the lowest unit price are kept while it needs them.
+  double running_cpu = 0;
 };
 
-// Plans one decision. Only machines that are up are released or drained, and none within its
-// minimum billed time.
+// Plans one scaling decision. Only machines that are up are released or drained, and none within
+// its minimum billed time.
 class ScaleInPlanner {
  public:
-  // All arguments must outlive this. Changes are added to `decision`, whose reserved machines stay.
+  // All arguments must outlive this. Changes are added to `decision`; the machines that it reserves
+  // for gangs are kept.
   ScaleInPlanner(const ScalingSnapshot& snapshot, const GangForecast& gang_forecast,
                  const CapacityMeter& meter, const Options& options, ScalingDecision* decision)
       : snapshot_(snapshot),
@@ -44,7 +47,7 @@
         options_(options),
         decision_(decision) {}
 
-  // `capacity`: after scale-out. Call it once.
+  // `capacity`: the capacity after scale-out. Must be called only once.
   void Plan(const ArrayCapacity& capacity, const ScaleInLimits& limits);
 
  private:
@@ -68,7 +71,7 @@
   ScaleInLimits limits_;
   double capacity_left_ = 0;
   double cheap_capacity_left_ = 0;
-  int removable_ = 0;  // machines that may go, idle or not
+  int removable_ = 0;  // number of machines that may be released or drained
   std::vector<Candidate> candidates_;
 };
 
