--- a/tests/autoscaler_test.cpp
+++ b/tests/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-// What is rented and kept.
+// Tests which machines the autoscaler requests.
 #include "core/placement/autoscaler.h"
 
 #include <gtest/gtest.h>
@@ -6,8 +6,8 @@
 namespace badgershore {
 namespace {
 
-// Guards against: a failover that forgets what has been arriving, so that the room kept for work
-// which can't wait for a boot is released just when the leader has changed.
+// Guards against losing the arrival history in a failover: the new leader would then release the
+// room kept for urgent jobs, which can't wait for a machine to boot.
 TEST(Autoscaler, KeepsRoomForArrivalsBeforeTheTerm) {
   const Options options;
   const std::vector<std::string> zones = {"a"};
@@ -39,7 +39,8 @@
     return count;
   };
   EXPECT_LE(requested(0), 1);
-  EXPECT_GE(requested(25), 40 * 25 * 30 / 100 / 4);  // at least the mean under way, four to a box
+  // At least machines for the mean load, at four tasks a machine.
+  EXPECT_GE(requested(25), 40 * 25 * 30 / 100 / 4);
 }
 
 }  // namespace
--- a/tests/guardrails_test.cpp
+++ b/tests/guardrails_test.cpp
@@ -1,4 +1,4 @@
-// Size buckets and the dispatch to the machine that received least work of a bucket.
+// Tests size buckets and the dispatch to the machine that received the least work of a bucket.
 #include "core/placement/guardrails.h"
 
 #include <gtest/gtest.h>
@@ -34,12 +34,13 @@
   a.dispatched_work[bucket] = 100;
   const std::vector<EligibleMachine> able = {{&a, type.size}, {&b, type.size}};
   EXPECT_EQ(LeastWorkPolicy(job, able).Next()->machine, &b);
-  // What another bucket has received plays no part.
+  // The work of other buckets does not matter.
   b.dispatched_work[bucket + 1] = 1e6;
   EXPECT_EQ(LeastWorkPolicy(job, able).Next()->machine, &b);
   const std::vector<EligibleMachine> none;
   EXPECT_EQ(LeastWorkPolicy(job, none).Next(), nullptr);
-  // Each task counts at once: 100 of work are 40 tasks on b before a has its turn.
+  // Each dispatched task counts at once: b receives 40 tasks, which are 100 seconds of work, before
+  // a has its turn.
   LeastWorkPolicy turns(job, able);
   int on_b = 0;
   while (turns.Next()->machine == &b) ++on_b;
--- a/tests/paged_records_test.cpp
+++ b/tests/paged_records_test.cpp
@@ -1,4 +1,4 @@
-// Many small records in few durable ones.
+// Tests the packing of small records into pages.
 #include "core/model/paged_records.h"
 
 #include <gtest/gtest.h>
@@ -17,19 +17,19 @@
   EXPECT_EQ(pages.NextToWrite(true, t, {}), first);
   pages.OnSent(first);
   EXPECT_EQ(pages.NextToWrite(true, t, {}), second);
-  // What changes while a page is on its way makes it dirty again.
+  // A change while the page's write is in flight makes the page dirty again.
   pages.RemoveItem("n-1", t);
   pages.OnWritten(first, 7);
   EXPECT_EQ(pages.NextToWrite(false, t + Seconds(1), Seconds(2)), nullptr);
   EXPECT_EQ(pages.NextToWrite(false, t + Seconds(2), Seconds(2)), first);
   pages.OnSent(second);
   pages.OnWritten(second, 8);
-  // The room is used again.
+  // The freed space is reused.
   EXPECT_EQ(pages.PutItem("n-4", 40, true, t), first);
 }
 
-// A write without a response may have been carried out, or may yet be: until its version is known
-// the page is left alone, or the next write's precondition would fail for ever.
+// A write without a response may have been carried out, or may be later. The page is not written
+// again until its version has been read: otherwise the precondition of each later write would fail.
 TEST(PagedRecords, RefreshesTheVersionAfterAWriteWithoutResponse) {
   PagedRecords pages("prog/", 100);
   PagedRecords::Page* page = pages.PutItem("job-1/0", 40, false, Seconds(1));
--- a/tests/progress_test.cpp
+++ b/tests/progress_test.cpp
@@ -1,4 +1,4 @@
-// The durable form of which tasks are done.
+// Tests the encoding of the finished tasks in durable records.
 #include <gtest/gtest.h>
 
 #include "core/model/jobs.h"
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -1,8 +1,8 @@
-// Plays a trace through the core and checks what comes out. See tests/traces/README.md.
+// Runs a trace against the core and checks the core's effects. See tests/traces/README.md.
 //
-// The core has no clock and no sockets, so a trace is the whole world: an in-memory state service
-// (which can be refused, go silent, or carry things out late), a cloud, and the workers' reports
-// word for word.
+// The core has no clock and no sockets, so the trace provides its whole environment: an in-memory
+// state service (which can refuse requests, send no responses, or carry requests out late), a
+// cloud, and the agents' heartbeats.
 #include <deque>
 #include <fstream>
 #include <iostream>
@@ -30,7 +30,7 @@
   return out;
 }
 
-// "key=value" words after the plain ones.
+// The words of a step: plain words, and "key=value" words by key.
 struct Words {
   std::vector<std::string> plain;
   std::map<std::string, std::string> named;
@@ -58,7 +58,7 @@
   }
 };
 
-// Attempts read as TERM.COUNT.
+// Attempts are written as TERM.COUNT.
 std::string ShowAttempt(uint64_t a) {
   return std::to_string(a >> 24) + "." + std::to_string(a & 0xffffff);
 }
@@ -99,7 +99,7 @@
   };
   std::map<std::string, Item> items;
   std::vector<Entry> history;
-  std::vector<StateRequest> held;  // sent into the dark, to be carried out late
+  std::vector<StateRequest> held;  // received while kSilent, to be carried out late
   uint64_t leases = 100;
   std::set<uint64_t> live_leases;
 
@@ -219,7 +219,8 @@
     big.spot_price = 2;
     types_ = {box, big};
     rents_ = false;
-    options_.hold_checkin = {};  // a report and its answer read as one step, unless asked for
+    // Heartbeats are answered at once unless the trace sets this option.
+    options_.hold_checkin = {};
   }
 
   void Line(const std::string& line) {
@@ -230,7 +231,7 @@
     if (verb == "option") return Option(w);
     if (!core_) core_ = std::make_unique<Controller>(settings_, options_);
     if (verb == "advance") return Advance(Seconds(std::stod(w.At(1))));
-    if (verb == "stands") {  // still, while its clocks go on
+    if (verb == "stands") {  // the process pauses while its clocks go on
       now_ = now_ + Seconds(std::stod(w.At(1)));
       return;
     }
@@ -270,7 +271,7 @@
     if (verb == "logs") {
       for (const std::string& said : logs_)
         if (said.find(line.substr(5)) != std::string::npos) return;
-      throw Stop{"nothing of the kind was logged"};
+      throw Stop{"no log line contains this text"};
     }
     if (verb == "unseen") return Unseen(line.substr(7));
     if (verb == "forget") return seen_.clear();
@@ -292,10 +293,10 @@
       return Pump();
     }
     if (verb == "leads" || verb == "follows") {
-      if (core_->leads() != (verb == "leads")) throw Stop{"it is the other way round"};
+      if (core_->leads() != (verb == "leads")) throw Stop{"the controller has the other role"};
       return;
     }
-    throw Stop{"no such step"};
+    throw Stop{"unknown step"};
   }
 
  private:
@@ -315,7 +316,7 @@
     }
   }
 
-  // Carries out what the core asks for, until it asks for nothing more.
+  // Carries out the core's effects until there are no more.
   void Pump() {
     for (int round = 0; round < 200; ++round) {
       Effects out = core_->TakeEffects();
@@ -348,7 +349,7 @@
       any |= RunWatches();
       if (!any) return;
     }
-    throw Stop{"the core never comes to rest"};
+    throw Stop{"the core keeps sending requests"};
   }
 
   bool RunStateOp(const StateRequest& op) {
@@ -359,7 +360,7 @@
     StateResponse r;
     if (lists_hang_ && op.kind == StateRequest::Kind::kList) {
       core_->OnStateResponse(now_, op.id, std::move(r));
-      return false;  // it is asked again, but not at the same moment
+      return false;  // the core retries, but not at the same time
     }
     switch (store_.mode) {
       case Store::Mode::kUp:
@@ -381,7 +382,8 @@
     return true;
   }
 
-  // Without news a watch is answered when its time is up; where it hangs, its caller gives up.
+  // A watch without changes gets its response after its maximum wait. If watches hang, the request
+  // times out a second later.
   bool RunWatches() {
     const bool served = store_.mode == Store::Mode::kUp && !watches_hang_;
     std::vector<OpenWatch> open;
@@ -408,7 +410,7 @@
       seen_.push_back("rent " + std::to_string(op.count) + " " + op.type +
                       (op.spot ? " spot" : ""));
       if (names_.count(op.request_name))
-        throw Stop{"a rental's name was used twice: " + op.request_name};
+        throw Stop{"two scale-out requests have the same name: " + op.request_name};
       if (cloud_up_ && !rents_) r.outcome = CloudResponse::Outcome::kNoCapacity;
       for (int i = 0; rents_ && i < op.count; ++i) {
         r.created.push_back("n-9" + std::to_string(++rented_));
@@ -506,7 +508,7 @@
 
   void AnswerDirect(const Words& w, const std::string& tail) {
     auto& waiting = direct_[w.At(1)];
-    if (waiting.empty()) throw Stop{"no direct call is waiting at " + w.At(1)};
+    if (waiting.empty()) throw Stop{"no direct call to " + w.At(1) + " is waiting for a response"};
     const CommandRequest op = waiting.front();
     waiting.pop_front();
     CommandResponse r;
@@ -534,7 +536,7 @@
       std::swap(held, store_.held);
       for (const StateRequest& op : held) store_.Do(op);
     } else
-      throw Stop{"no such mode"};
+      throw Stop{"unknown mode of the state service"};
     Pump();
   }
 
@@ -542,7 +544,7 @@
     auto it = store_.items.find(w.At(2));
     bool there = it != store_.items.end();
     if (w.At(2).compare(0, keys::kFleet.size(), keys::kFleet) == 0) {
-      // Machines are kept many to a page.
+      // A page holds the records of many machines.
       there = false;
       for (it = store_.items.begin(); it != store_.items.end() && !there;) {
         if (const auto* page = std::get_if<FleetPage>(&it->second.value)) {
@@ -552,13 +554,13 @@
       }
     }
     if (w.At(1) == "lacks") {
-      if (there) throw Stop{"it is there"};
+      if (there) throw Stop{"the key exists"};
       return;
     }
-    if (!there) throw Stop{"it is not there"};
+    if (!there) throw Stop{"the key does not exist"};
     if (const auto* end = std::get_if<JobEndRecord>(&it->second.value)) {
       const std::string is = end->cancelled ? "withdrawn" : "done";
-      if (!w.At(3).empty() && w.At(3) != is) throw Stop{"it says " + is};
+      if (!w.At(3).empty() && w.At(3) != is) throw Stop{"the job's end record says " + is};
     }
   }
 
@@ -580,7 +582,7 @@
                  FleetPage{{MachineRecord{w.At(2), "e:" + w.At(2), w.Has("big") ? "big" : "box",
                                           w.Text("zone", "a"), w.Has("spot")}}});
     } else {
-      throw Stop{"no such event"};
+      throw Stop{"unknown event"};
     }
     Pump();
   }
@@ -614,7 +616,7 @@
         listed_.push_back(l);
       }
     } else
-      throw Stop{"no such cloud"};
+      throw Stop{"unknown mode of the cloud"};
     Pump();
   }
 
@@ -630,11 +632,11 @@
     }
     std::string all;
     for (const std::string& s : seen_) all += "\n    " + s;
-    throw Stop{"it was not among:" + all};
+    throw Stop{"not seen; seen were:" + all};
   }
   void Unseen(const std::string& start) {
     for (const std::string& s : seen_) {
-      if (s.compare(0, start.size(), start) == 0) throw Stop{"it was seen: " + s};
+      if (s.compare(0, start.size(), start) == 0) throw Stop{"was seen: " + s};
     }
   }
 
@@ -666,7 +668,7 @@
 int Run(const char* file) {
   std::ifstream in(file);
   if (!in) {
-    std::cerr << file << ": can't be read\n";
+    std::cerr << file << ": can't read the file\n";
     return 2;
   }
   Player player;
@@ -686,7 +688,8 @@
       std::cerr << file << ":" << number << ": " << line << "\n  " << stop.what << "\n";
       return 1;
     } catch (const std::exception& e) {
-      std::cerr << file << ":" << number << ": " << line << "\n  bad step: " << e.what() << "\n";
+      std::cerr << file << ":" << number << ": " << line << "\n  malformed step: " << e.what()
+                << "\n";
       return 1;
     }
   }
@@ -699,7 +702,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 2) {
-    std::cerr << "trace_runner FILE\n";
+    std::cerr << "usage: trace_runner FILE\n";
     return 2;
   }
   return badgershore::Run(argv[1]);
