--- a/src/core/api/job_api.cpp
+++ b/src/core/api/job_api.cpp
@@ -12,7 +12,7 @@
   return request;
 }
 
-const JobEndRecord* FindEnd(const StateResponse& response) {
+const JobEndRecord* EndRecordIn(const StateResponse& response) {
   if (!response.ok() || response.entries.empty()) return nullptr;
   return std::get_if<JobEndRecord>(&response.entries[0].value);
 }
@@ -24,7 +24,7 @@
   outbox_->effects.api_responses.push_back({request_id, status, id, phase, done, running, "", 0});
 }
 
-void JobApi::Refuse(RequestId request_id, int status, const std::string& id, std::string reason,
+void JobApi::Reject(RequestId request_id, int status, const std::string& id, std::string reason,
                     int retry_after_s) {
   ApiResponse response;
   response.request_id = request_id;
@@ -35,18 +35,18 @@
   outbox_->effects.api_responses.push_back(std::move(response));
 }
 
-void JobApi::CacheEnd(const std::string& id, const JobEndRecord& end) {
-  if (!ends_.emplace(id, end).second) return;
-  ends_order_.push_back(id);
-  if (ends_order_.size() > kMaxCachedEnds) {
-    ends_.erase(ends_order_.front());
-    ends_order_.pop_front();
+void JobApi::CacheEndRecord(const std::string& id, const JobEndRecord& end) {
+  if (!cached_ends_.emplace(id, end).second) return;
+  cached_ends_order_.push_back(id);
+  if (cached_ends_order_.size() > kMaxCachedEnds) {
+    cached_ends_.erase(cached_ends_order_.front());
+    cached_ends_order_.pop_front();
   }
 }
 
 bool JobApi::AnswerEnded(RequestId request_id, const std::string& id) {
-  auto it = ends_.find(id);
-  if (it == ends_.end()) return false;
+  auto it = cached_ends_.find(id);
+  if (it == cached_ends_.end()) return false;
   const JobEndRecord& end = it->second;
   Answer(request_id, 200, id, end.cancelled ? JobPhase::kCancelled : JobPhase::kDone,
          end.cancelled ? 0 : end.tasks);
@@ -65,29 +65,29 @@
   outbox_->SendState(GetRequest(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
     if (job.ok()) return on_live(now, job);
     if (job.outcome != StateResponse::Outcome::kNotFound) {
-      return Refuse(request_id, 503, id, "the state service can't be read");
+      return Reject(request_id, 503, id, "the state service can't be read");
     }
     // The end record is read second, because the transaction that writes it deletes the job record.
-    ReadEnd(request_id, id, missing_status, reason);
+    ReadEndRecord(request_id, id, missing_status, reason);
   });
 }
 
-void JobApi::ReadEnd(RequestId request_id, const std::string& id, int missing_status,
-                     const std::string& reason) {
+void JobApi::ReadEndRecord(RequestId request_id, const std::string& id, int missing_status,
+                           const std::string& reason) {
   outbox_->SendState(GetRequest(keys::kJobEnd + id), [=, this](Micros, StateResponse& response) {
     if (response.outcome == StateResponse::Outcome::kNotFound) {
-      return Refuse(request_id, missing_status, id, reason);
+      return Reject(request_id, missing_status, id, reason);
     }
-    const JobEndRecord* end = FindEnd(response);
-    if (!end) return Refuse(request_id, 503, id, "the state service can't be read");
-    CacheEnd(id, *end);
+    const JobEndRecord* end = EndRecordIn(response);
+    if (!end) return Reject(request_id, 503, id, "the state service can't be read");
+    CacheEndRecord(id, *end);
     AnswerEnded(request_id, id);
   });
 }
 
 void JobApi::Submit(Micros now, RequestId request_id, Submission submission) {
   const std::string id = submission.id;
-  if (id.empty()) return Refuse(request_id, 400, id, submission.reason);
+  if (id.empty()) return Reject(request_id, 400, id, submission.reason);
   const auto on_live = [=, this](Micros, const StateResponse&) { AnswerLive(request_id, id); };
   // A repeated submission of an accepted job is answered from the job's record, even if the
   // description is rejected now: a 400 would deny an accepted job. If the record can't be read, the
@@ -101,7 +101,7 @@
   if (AnswerEnded(request_id, id)) return;
   const int retry_after_s = admission_control_.RetryAfterSeconds(now, submission.spec->team);
   if (retry_after_s > 0) {
-    return Refuse(request_id, 429, id, "more jobs come than can be recorded", retry_after_s);
+    return Reject(request_id, 429, id, "more jobs come than can be recorded", retry_after_s);
   }
   RecordSubmission(request_id, id, *submission.spec, on_live);
 }
@@ -119,7 +119,7 @@
       return ReadJob(request_id, id, 503, "the job's record is changing", on_live);
     }
     // The write may have been carried out or not: the user's retry finds out.
-    Refuse(request_id, 503, id, "the job can't be recorded now");
+    Reject(request_id, 503, id, "the job can't be recorded now");
   });
 }
 
@@ -146,13 +146,13 @@
   commit.mutations = {{keys::kJobEnd + id, false, end, 0}, {keys::kJob + id, true, {}, 0}};
   outbox_->SendState(commit, [=, this](Micros now, StateResponse& response) {
     if (response.ok()) {
-      CacheEnd(id, end);
+      CacheEndRecord(id, end);
       AnswerEnded(request_id, id);
       callbacks_.on_cancellation_recorded(now, id);
     } else if (response.outcome == StateResponse::Outcome::kConflict && attempts > 1) {
       Cancel(request_id, id, attempts - 1);  // the job has ended or its record has changed
     } else {
-      Refuse(request_id, 503, id, "the cancellation can't be recorded now");
+      Reject(request_id, 503, id, "the cancellation can't be recorded now");
     }
   });
 }
--- a/src/core/api/job_api.h
+++ b/src/core/api/job_api.h
@@ -47,20 +47,20 @@
   // with `missing_status` and `reason` if the job is unknown, or with 503 if the read fails.
   void ReadJob(RequestId request_id, const std::string& id, int missing_status,
                const std::string& reason, const OnLiveJob& on_live);
-  void ReadEnd(RequestId request_id, const std::string& id, int missing_status,
-               const std::string& reason);
+  void ReadEndRecord(RequestId request_id, const std::string& id, int missing_status,
+                     const std::string& reason);
   void RecordSubmission(RequestId request_id, const std::string& id, const JobSpec& spec,
                         const OnLiveJob& on_live);
   void RecordCancellation(RequestId request_id, const std::string& id, uint64_t job_version,
                           int attempts);
   void Answer(RequestId request_id, int status, const std::string& id, JobPhase phase, int done = 0,
               int running = 0);
-  void Refuse(RequestId request_id, int status, const std::string& id, std::string reason,
+  void Reject(RequestId request_id, int status, const std::string& id, std::string reason,
               int retry_after_s = 1);
   // Responds from the cached end records; false if the job's end is not cached.
   bool AnswerEnded(RequestId request_id, const std::string& id);
   void AnswerLive(RequestId request_id, const std::string& id);
-  void CacheEnd(const std::string& id, const JobEndRecord& end);
+  void CacheEndRecord(const std::string& id, const JobEndRecord& end);
 
   static constexpr size_t kMaxCachedEnds = 4096;
 
@@ -68,8 +68,8 @@
   Callbacks callbacks_;
   AdmissionControl admission_control_;
   // Cached end records, which never change. The oldest are evicted.
-  std::unordered_map<std::string, JobEndRecord> ends_;
-  std::list<std::string> ends_order_;
+  std::unordered_map<std::string, JobEndRecord> cached_ends_;
+  std::list<std::string> cached_ends_order_;
 };
 
 }  // namespace badgershore
--- a/src/core/controller/connectivity.cpp
+++ b/src/core/controller/connectivity.cpp
@@ -10,9 +10,9 @@
 }  // namespace
 
 void Connectivity::Tick(Micros now) {
-  if (probing_ || now < probe_at_ || now - state_answer_at_ <= kProbeInterval) return;
+  if (probing_ || now < next_probe_at_ || now - last_state_response_at_ <= kProbeInterval) return;
   probing_ = true;
-  probe_at_ = now + kProbeInterval;
+  next_probe_at_ = now + kProbeInterval;
   StateRequest request;
   request.key = keys::kLeader;
   outbox_->SendState(request, [this](Micros, StateResponse&) { probing_ = false; });
@@ -21,16 +21,16 @@
 void Connectivity::OnStateResponse(Micros now, const StateResponse& response) {
   if (response.outcome != StateResponse::Outcome::kRefused &&
       response.outcome != StateResponse::Outcome::kUnknown) {
-    state_answer_at_ = now;
+    last_state_response_at_ = now;
   }
 }
 
 bool Connectivity::StateServiceReachable(Micros now) const {
-  return StateServiceAnsweredWithin(now, kReachableFor);
+  return StateServiceRespondedWithin(now, kReachableFor);
 }
 
 bool Connectivity::ReceivesHeartbeats(Micros now) const {
-  return now - heartbeat_at_ < kReachableFor;
+  return now - last_heartbeat_at_ < kReachableFor;
 }
 
 }  // namespace badgershore
--- a/src/core/controller/connectivity.h
+++ b/src/core/controller/connectivity.h
@@ -13,20 +13,20 @@
   // reachability is also known on a controller that has no other requests.
   void Tick(Micros now);
   void OnStateResponse(Micros now, const StateResponse& response);
-  void OnHeartbeat(Micros now) { heartbeat_at_ = now; }
+  void OnHeartbeat(Micros now) { last_heartbeat_at_ = now; }
 
   // Whether a response of the state service arrived within the last `span`.
-  bool StateServiceAnsweredWithin(Micros now, Micros span) const {
-    return now - state_answer_at_ < span;
+  bool StateServiceRespondedWithin(Micros now, Micros span) const {
+    return now - last_state_response_at_ < span;
   }
   bool StateServiceReachable(Micros now) const;
   bool ReceivesHeartbeats(Micros now) const;
 
  private:
   Outbox* outbox_;
-  Micros state_answer_at_{-1000000000};
-  Micros heartbeat_at_{-1000000000};
-  Micros probe_at_;
+  Micros last_state_response_at_{-1000000000};
+  Micros last_heartbeat_at_{-1000000000};
+  Micros next_probe_at_;
   bool probing_ = false;
 };
 
--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -65,12 +65,12 @@
   context.types_known = [this] { return machine_types_.complete(); };
   leader_ = std::make_unique<Leader>(std::move(context), now, time_of_day_ms_);
   leader_->Tick(now);
-  status_at_ = now;  // peers learn of the new leader at once
+  next_status_at_ = now;  // peers learn of the new leader at once
 }
 
 void Controller::OnLeadershipLost() {
-  ended_leader_ = std::move(leader_);
-  ended_leader_->RejectPending();
+  previous_leader_ = std::move(leader_);
+  previous_leader_->RejectPending();
 }
 
 void Controller::BeginHandover(Micros now) {
@@ -88,7 +88,7 @@
 bool Controller::IsHealthy(Micros now) const {
   if (shutting_down_) return false;
   if (!election_->synced()) return false;
-  if (connectivity_.StateServiceAnsweredWithin(now, kHealthyFor)) return true;
+  if (connectivity_.StateServiceRespondedWithin(now, kHealthyFor)) return true;
   // Without the state service, users should be sent elsewhere only if a peer reaches it.
   return !peers_.StateServiceReachableFromPeer(now);
 }
@@ -114,8 +114,8 @@
 }
 
 void Controller::SendStatus(Micros now) {
-  if (now < status_at_) return;
-  status_at_ = now + kStatusInterval;
+  if (now < next_status_at_) return;
+  next_status_at_ = now + kStatusInterval;
   PeerStatus status = OwnStatus(now);
   if (leader_) status.job_statuses = leader_->Statuses();
   outbox_.effects.peer_statuses.push_back(std::move(status));
@@ -145,36 +145,36 @@
   connectivity_.Tick(now);
   SendStatus(now);
   if (shutting_down_) BeginHandover(now);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnStateResponse(Micros now, RequestId id, StateResponse response) {
   connectivity_.OnStateResponse(now, response);
   outbox_.Deliver(now, id, response);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnCloudResponse(Micros now, RequestId id, CloudResponse response) {
   outbox_.Deliver(now, id, response);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnCommandResponse(Micros now, RequestId id, CommandResponse response) {
   if (response.heartbeat) election_->NoteFencingToken(response.heartbeat->fencing_token);
   outbox_.Deliver(now, id, response);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 bool Controller::AnswerAsLeader(Micros now, RequestId request_id, const Heartbeat& heartbeat,
                                 HeartbeatResponse* answer) {
-  const auto verdict = leader_->HandleHeartbeat(now, request_id, heartbeat, &answer->commands);
-  if (verdict != Leader::HeartbeatOutcome::kSuperseded) connectivity_.OnHeartbeat(now);
-  if (verdict == Leader::HeartbeatOutcome::kAnswerLater) return true;
-  if (verdict == Leader::HeartbeatOutcome::kAnswer) {
+  const auto outcome = leader_->HandleHeartbeat(now, request_id, heartbeat, &answer->commands);
+  if (outcome != Leader::HeartbeatOutcome::kSuperseded) connectivity_.OnHeartbeat(now);
+  if (outcome == Leader::HeartbeatOutcome::kAnswerLater) return true;
+  if (outcome == Leader::HeartbeatOutcome::kAnswer) {
     answer->status = 200;
     answer->fencing_token = election_->term();
     answer->valid_until = leader_->ValidUntil(answer->commands);
-  } else if (verdict != Leader::HeartbeatOutcome::kSuperseded) {
+  } else if (outcome != Leader::HeartbeatOutcome::kSuperseded) {
     return false;
   }
   outbox_.effects.heartbeat_responses.push_back(std::move(*answer));
@@ -193,7 +193,7 @@
   answer.leader = peers_.LeaderName(now, election_->seen_term(), election_->leader());
   answer.status = answer.leader.empty() ? 503 : 421;
   outbox_.effects.heartbeat_responses.push_back(std::move(answer));
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnSubmit(Micros now, RequestId request_id, Submission submission) {
@@ -212,7 +212,7 @@
 // arrives too early may be dropped.
 void Controller::OnCellMessage(Micros now, const limits::CellMessage& message) {
   if (leader_ && leader_->ready()) leader_->OnCell(now, message);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnMembershipMessage(Micros now, const membership::Message& message) {
@@ -225,7 +225,7 @@
   if (leader_ && status.term > election_->term()) {
     election_->StepDown(now,
                         "peer " + status.from + " reports term " + std::to_string(status.term));
-    ended_leader_.reset();
+    previous_leader_.reset();
   }
   if (leader_) {
     for (const std::string& job : status.cancelling) leader_->MarkCancelPending(now, job);
--- a/src/core/controller/controller.h
+++ b/src/core/controller/controller.h
@@ -75,9 +75,9 @@
   std::unique_ptr<JobApi> job_api_;
   std::unique_ptr<Leader> leader_;
   // Leader of the term that just ended, kept until no call to it can be on the stack.
-  std::unique_ptr<Leader> ended_leader_;
+  std::unique_ptr<Leader> previous_leader_;
   int64_t time_of_day_ms_ = 0;
-  Micros status_at_;
+  Micros next_status_at_;
   bool shutting_down_ = false;
   Micros handover_deadline_;  // when the handover stops waiting for writes in flight
 };
--- a/src/core/controller/peer_view.cpp
+++ b/src/core/controller/peer_view.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 // Peers send their status twice a second. A status is recent, or expired, after these times.
-constexpr Micros kHeardLately = Millis(1500);
-constexpr Micros kStatusExpires = Seconds(3);
+constexpr Micros kRecentStatusAge = Millis(1500);
+constexpr Micros kStatusExpiry = Seconds(3);
 
 // The member with the smallest rank is the first candidate.
 struct CandidateRank {
@@ -56,8 +56,9 @@
     const std::string& name = member.name;
     const bool confirmed = members_->IsSuspicionConfirmed(now, name);
     if (confirmed && logged_suspects_.insert(name).second) {
-      const auto& by = members_->Find(name)->suspected_by;
-      outbox_->Info("peer " + name + " suspected by " + std::to_string(by.size()) + " members");
+      const auto& suspected_by = members_->Find(name)->suspected_by;
+      outbox_->Info("peer " + name + " suspected by " + std::to_string(suspected_by.size()) +
+                    " members");
     } else if (!confirmed && members_->Find(name)->state == membership::State::kAlive &&
                logged_suspects_.erase(name) > 0) {
       outbox_->Info("peer " + name + " is alive again");
@@ -90,21 +91,21 @@
 int PeerView::ElectionPosition(Micros now) const {
   const CandidateRank own{members_->IsIsolated(now), !connectivity_->StateServiceReachable(now),
                           !connectivity_->ReceivesHeartbeats(now), settings_->member};
-  int before = 0;
+  int position = 0;
   for (const auto& member : settings_->members) {
     const membership::Members::View* view = members_->Find(member.name);
     const bool suspected = view->state != membership::State::kAlive || view->heard_at.count < 0;
-    before += CandidateRank{suspected, !view->state_service_reachable, !view->receives_heartbeats,
-                            member.name} < own;
+    position += CandidateRank{suspected, !view->state_service_reachable, !view->receives_heartbeats,
+                              member.name} < own;
   }
-  return before;
+  return position;
 }
 
 std::string PeerView::PreferredSuccessor(Micros now) const {
   std::string best;
   SuccessorRank best_rank;
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard_at > kHeardLately) continue;
+    if (now - peer.received_at > kRecentStatusAge) continue;
     const membership::Members::View* view = members_ ? members_->Find(name) : nullptr;
     if (view && view->state != membership::State::kAlive) continue;
     const SuccessorRank rank{!peer.status.state_service_reachable,
@@ -119,7 +120,7 @@
 
 std::string PeerView::PeerReceivingHeartbeats(Micros now) const {
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard_at <= kHeardLately && peer.status.state_service_reachable &&
+    if (now - peer.received_at <= kRecentStatusAge && peer.status.state_service_reachable &&
         peer.status.receives_heartbeats) {
       return name;
     }
@@ -129,7 +130,7 @@
 
 std::string PeerView::LeaderName(Micros now, uint64_t term, std::string leader) const {
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard_at > kStatusExpires || peer.status.leader.empty()) continue;
+    if (now - peer.received_at > kStatusExpiry || peer.status.leader.empty()) continue;
     if (peer.status.term > term || (peer.status.term == term && leader.empty())) {
       term = peer.status.term;
       leader = peer.status.leader;
@@ -140,7 +141,7 @@
 
 bool PeerView::StateServiceReachableFromPeer(Micros now) const {
   for (const auto& [name, peer] : peers_) {
-    if (now - peer.heard_at < kStatusExpires && peer.status.state_service_reachable) return true;
+    if (now - peer.received_at < kStatusExpiry && peer.status.state_service_reachable) return true;
   }
   return false;
 }
--- a/src/core/controller/peer_view.h
+++ b/src/core/controller/peer_view.h
@@ -53,7 +53,7 @@
 
  private:
   struct Peer {
-    Micros heard_at;
+    Micros received_at;
     PeerStatus status;
   };
   void CreateMembers(int64_t time_of_day_ms);
--- a/src/core/election/election.cpp
+++ b/src/core/election/election.cpp
@@ -12,25 +12,25 @@
 constexpr Micros kRetryPositionDelay = Millis(150);
 constexpr Micros kRenewRetryDelay = Millis(150);
 // Share of the lease duration after which the lease is renewed.
-constexpr double kRenewAfter = 0.2;
+constexpr double kRenewLeaseShare = 0.2;
 // Leaves time for messages that are in flight when the lease expires.
 constexpr Micros kLeaseMargin = Millis(50);
 
 }  // namespace
 
-Election::Election(Outbox* outbox, std::string member, int position, Micros lease,
+Election::Election(Outbox* outbox, std::string member, int position, Micros lease_duration,
                    Callbacks callbacks)
     : outbox_(outbox),
       member_(std::move(member)),
       position_(position),
-      lease_(lease),
+      lease_duration_(lease_duration),
       callbacks_(std::move(callbacks)),
       control_cache_(
           outbox, keys::kControl,
           [this](Micros now, const Entry& entry) { OnControlEntry(now, entry); }, [](Micros) {}) {}
 
-Micros Election::UsableLease(Micros sent) const {
-  return sent + lease_.Scaled(1 - kClockDrift) - kLeaseMargin;
+Micros Election::LeaseValidUntil(Micros sent) const {
+  return sent + lease_duration_.Scaled(1 - kClockDrift) - kLeaseMargin;
 }
 
 void Election::OnControlEntry(Micros now, const Entry& entry) {
@@ -59,11 +59,11 @@
   // If the first list names this member, its previous process wrote the key. That process has
   // ended, since this one is bound to the same address, so its lease need not expire first.
   if (!control_cache_.synced() && !leads() && leader_ == member_) {
-    previous_run_version_ = entry.version;
+    previous_process_version_ = entry.version;
     leader_.clear();
   }
   if (entry.deleted) {
-    vacated_version_ = entry.version;
+    leader_deleted_version_ = entry.version;
     ScheduleCandidacy(now);
   }
 }
@@ -86,7 +86,7 @@
 // at once and the others wait for it. Otherwise candidates are staggered by election position.
 void Election::ScheduleCandidacy(Micros now) {
   const Micros by_position = now + kPositionDelay.Scaled(position_);
-  if (successor_version_ == 0 || successor_version_ != vacated_version_) {
+  if (successor_version_ == 0 || successor_version_ != leader_deleted_version_) {
     candidacy_at_ = std::max(candidacy_at_, by_position);
   } else if (successor_ == member_) {
     candidacy_at_ = now;
@@ -115,8 +115,8 @@
 
 void Election::Tick(Micros now) {
   control_cache_.Tick(now);
-  if (role_ == Role::kFollower && !handover_requested_ && control_cache_.synced() && Vacant() &&
-      now >= candidacy_at_) {
+  if (role_ == Role::kFollower && !handover_requested_ && control_cache_.synced() &&
+      IsLeaderKeyVacant() && now >= candidacy_at_) {
     StartCandidacy(now);
   }
   if (leads() && !renewing_ && now >= renew_at_) Renew(now);
@@ -127,7 +127,7 @@
   candidacy_at_ = now + kRetryDelay + kRetryPositionDelay.Scaled(position_);
   StateRequest grant;
   grant.kind = StateRequest::Kind::kGrantLease;
-  grant.duration = lease_;
+  grant.duration = lease_duration_;
   outbox_->SendState(grant, [this, sent = now](Micros, StateResponse& response) {
     if (!response.ok()) {
       role_ = Role::kFollower;
@@ -138,10 +138,10 @@
 }
 
 void Election::WriteTerm(Micros sent, uint64_t lease) {
-  const uint64_t term = std::max(seen_term_, seen_fencing_token_) + 1;
+  const uint64_t term = std::max(seen_term_, highest_seen_fencing_token_) + 1;
   StateRequest commit;
   commit.kind = StateRequest::Kind::kCompareAndSwap;
-  commit.preconditions = {{keys::kLeader, Vacant() ? leader_version_ : 0},
+  commit.preconditions = {{keys::kLeader, IsLeaderKeyVacant() ? leader_version_ : 0},
                           {keys::kTerm, seen_term_version_}};
   commit.mutations = {{keys::kLeader, false, LeaderRecord{member_, term}, lease},
                       {keys::kTerm, false, TermRecord{term, member_}, 0}};
@@ -164,7 +164,7 @@
   leader_ = member_;
   leader_version_ = last_leader_version_ = revision;
   lease_id_ = lease;
-  lease_until_ = UsableLease(sent);
+  lease_until_ = LeaseValidUntil(sent);
   confirmed_at_ = sent;
   renew_at_ = now;
   renewing_ = false;
@@ -187,9 +187,9 @@
     if (!leads() || term != term_) return;
     renewing_ = false;
     if (response.ok()) {
-      lease_until_ = UsableLease(sent);
+      lease_until_ = LeaseValidUntil(sent);
       confirmed_at_ = sent;
-      renew_at_ = sent + lease_.Scaled(kRenewAfter);
+      renew_at_ = sent + lease_duration_.Scaled(kRenewLeaseShare);
     } else if (response.outcome == StateResponse::Outcome::kNotFound) {
       StepDown(now, "lease expired");
     } else {
@@ -199,14 +199,16 @@
 }
 
 std::string Election::Fingerprint(Micros now) const {
-  const auto in = [now](Micros at) {
+  const auto relative = [now](Micros at) {
     return std::to_string(std::max(Micros{-1}, at - now).count) + ' ';
   };
   std::string out = std::to_string(static_cast<int>(role_)) + ' ' + std::to_string(term_) + ' ' +
                     std::to_string(term_version_) + ' ' + std::to_string(lease_id_) + ' ';
-  out += in(lease_until_) + in(renew_at_) + in(candidacy_at_) + leader_ + ' ' + successor_ + ' ';
-  for (const uint64_t n : {leader_version_, last_leader_version_, seen_term_, seen_term_version_,
-                           seen_fencing_token_, successor_version_, vacated_version_}) {
+  out += relative(lease_until_) + relative(renew_at_) + relative(candidacy_at_) + leader_ + ' ' +
+         successor_ + ' ';
+  for (const uint64_t n :
+       {leader_version_, last_leader_version_, seen_term_, seen_term_version_,
+        highest_seen_fencing_token_, successor_version_, leader_deleted_version_}) {
     out += std::to_string(n) + ' ';
   }
   return out + (renewing_ ? "r" : "") + (handover_requested_ ? "e" : "") +
--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -26,8 +26,9 @@
     std::function<void(Micros, const Entry&)> on_control_entry;
   };
   // `position`: number of members that become candidates before this one when there is no leader.
-  // `lease`: duration of the leader lease.
-  Election(Outbox* outbox, std::string member, int position, Micros lease, Callbacks callbacks);
+  // `lease_duration`: of the leader lease.
+  Election(Outbox* outbox, std::string member, int position, Micros lease_duration,
+           Callbacks callbacks);
 
   void Tick(Micros now);
   // Ends the term and revokes the lease; this member is not a candidate again before `now + pause`.
@@ -58,7 +59,7 @@
   uint64_t seen_term() const { return seen_term_; }
   // Records a fencing token that an agent reported; the next term must be greater.
   void NoteFencingToken(uint64_t fencing_token) {
-    seen_fencing_token_ = std::max(seen_fencing_token_, fencing_token);
+    highest_seen_fencing_token_ = std::max(highest_seen_fencing_token_, fencing_token);
   }
   bool synced() const { return control_cache_.synced(); }
   // The complete state with times relative to `now`, for state space exploration. Two elections
@@ -73,21 +74,23 @@
   void OnElected(Micros now, Micros sent, uint64_t lease, uint64_t term, uint64_t revision);
   void RevokeLease(uint64_t lease);
   // The leader key is absent, or was written by this member's previous process.
-  bool Vacant() const { return leader_version_ == 0 || leader_version_ == previous_run_version_; }
+  bool IsLeaderKeyVacant() const {
+    return leader_version_ == 0 || leader_version_ == previous_process_version_;
+  }
   void Renew(Micros now);
   void ScheduleCandidacy(Micros now);
   void OnControlEntry(Micros now, const Entry& entry);
   void OnLeaderEntry(Micros now, const Entry& entry);
   void OnSuccessorEntry(Micros now, const Entry& entry);
   void OnTermEntry(const Entry& entry);
-  // Until when a lease that was requested or renewed at `sent` is certain to be valid by the local
-  // clock.
-  Micros UsableLease(Micros sent) const;
+  // Until when a lease that was requested or renewed at `sent` is certain to be valid by the
+  // local clock.
+  Micros LeaseValidUntil(Micros sent) const;
 
   Outbox* outbox_;
   std::string member_;
   int position_;
-  Micros lease_;
+  Micros lease_duration_;
   Callbacks callbacks_;
   KeyRangeCache control_cache_;
   Role role_ = Role::kFollower;
@@ -99,7 +102,7 @@
   Micros renew_at_;
   // Version of the leader key in the first list if it named this member, so that its previous
   // process wrote it.
-  uint64_t previous_run_version_ = 0;
+  uint64_t previous_process_version_ = 0;
   bool renewing_ = false;
   bool handover_requested_ = false;
   bool handover_in_flight_ = false;
@@ -107,14 +110,14 @@
   // of the leader key.
   std::string successor_;
   uint64_t successor_version_ = 0;
-  uint64_t vacated_version_ = 0;
+  uint64_t leader_deleted_version_ = 0;
   // As last read from the state service. leader_version_ is 0 while the key is absent.
   std::string leader_;
   uint64_t leader_version_ = 0;
   uint64_t last_leader_version_ = 0;
   uint64_t seen_term_ = 0;
   uint64_t seen_term_version_ = 0;
-  uint64_t seen_fencing_token_ = 0;
+  uint64_t highest_seen_fencing_token_ = 0;
   Micros candidacy_at_;
 };
 
--- a/src/core/election/leader_authority.h
+++ b/src/core/election/leader_authority.h
@@ -19,14 +19,14 @@
 class LeaderAuthority {
  public:
   // `jobs`: cache of the live jobs' records; a cancellation deletes its job's record.
-  // `cancel_deadline`: time within which the tasks of a cancelled job must have stopped. `lease`:
-  // duration of the leader lease.
+  // `cancel_deadline`: time within which the tasks of a cancelled job must have stopped.
+  // `agent_lease` and `leader_lease`: durations of the leases.
   LeaderAuthority(const Election* election, const KeyRangeCache* jobs, Micros cancel_deadline,
-                  Micros worker_lease, Micros lease)
+                  Micros agent_lease, Micros leader_lease)
       : election_(election),
         jobs_(jobs),
-        answer_span_(std::max(Seconds(0), cancel_deadline - worker_lease - kMargin)),
-        knowledge_span_(lease.Scaled(2)) {}
+        heartbeat_answer_span_(std::max(Seconds(0), cancel_deadline - agent_lease - kMargin)),
+        cancellation_knowledge_span_(leader_lease.Scaled(2)) {}
 
   // Every cancellation that was recorded before this time has been applied here.
   Micros known_as_of() const { return jobs_->known_as_of(); }
@@ -36,7 +36,7 @@
   // leader lease, because a successor relies on no agent lease being extended after the lease of
   // its predecessor has expired.
   Micros answer_until() const {
-    return std::min(election_->confirmed_at(), known_as_of()) + answer_span_;
+    return std::min(election_->confirmed_at(), known_as_of()) + heartbeat_answer_span_;
   }
   bool MayAnswer(Micros now) const { return now < answer_until(); }
 
@@ -44,7 +44,8 @@
   // enough: a renewal that succeeds right after an outage does not tell which jobs were cancelled
   // during it.
   Micros start_until() const {
-    return std::min({election_->lease_until(), known_as_of() + knowledge_span_, answer_until()});
+    return std::min(
+        {election_->lease_until(), known_as_of() + cancellation_knowledge_span_, answer_until()});
   }
   bool MayStart(Micros now) const { return election_->MayStart(now) && now < start_until(); }
 
@@ -54,8 +55,8 @@
 
   const Election* election_;
   const KeyRangeCache* jobs_;
-  Micros answer_span_;
-  Micros knowledge_span_;
+  Micros heartbeat_answer_span_;
+  Micros cancellation_knowledge_span_;
 };
 
 }  // namespace badgershore
--- a/src/core/model/per_team.h
+++ b/src/core/model/per_team.h
@@ -13,15 +13,15 @@
  public:
   explicit PerTeam(size_t known_teams) : values_(known_teams + 1) {}
 
-  Value& operator[](int team) { return values_[Slot(team)]; }
-  const Value& operator[](int team) const { return values_[Slot(team)]; }
+  Value& operator[](int team) { return values_[IndexOf(team)]; }
+  const Value& operator[](int team) const { return values_[IndexOf(team)]; }
   // In index order, beginning with the value of unknown teams.
   auto begin() { return values_.begin(); }
   auto end() { return values_.end(); }
   int known_teams() const { return static_cast<int>(values_.size()) - 1; }
 
  private:
-  static size_t Slot(int team) { return static_cast<size_t>(team + 1); }
+  static size_t IndexOf(int team) { return static_cast<size_t>(team + 1); }
 
   std::vector<Value> values_;
 };
--- a/src/core/outbox/key_range_cache.cpp
+++ b/src/core/outbox/key_range_cache.cpp
@@ -24,7 +24,7 @@
 KeyRangeCache::~KeyRangeCache() { *alive_ = false; }
 
 void KeyRangeCache::Tick(Micros now) {
-  if (!in_flight_ && now >= retry_at_) SendNext(now);
+  if (!in_flight_ && now >= next_request_at_) SendNext(now);
 }
 
 void KeyRangeCache::SendNext(Micros now) {
@@ -33,8 +33,8 @@
   request.key = prefix_;
   if (listing_) {
     request.kind = StateRequest::Kind::kList;
-    request.start_after = page_after_;
-    if (page_after_.empty()) sent_at_ = now;  // a list is only as recent as its first page
+    request.start_after = list_start_after_;
+    if (list_start_after_.empty()) sent_at_ = now;  // a list is only as recent as its first page
   } else {
     sent_at_ = now;
     request.kind = StateRequest::Kind::kWatch;
@@ -63,7 +63,7 @@
 }
 
 void KeyRangeCache::OnFailure(Micros now, const StateResponse& response) {
-  retry_at_ = now + kRetryDelay;
+  next_request_at_ = now + kRetryDelay;
   // The changes may be too many for one watch response, so that the watch never succeeds; a list is
   // paged. During an outage the list fails just as the watch would.
   if (response.outcome != StateResponse::Outcome::kRefused && ++failures_ >= kFailuresBeforeList &&
@@ -77,25 +77,25 @@
   revision_ = std::max(revision_, response.revision);
   for (const Entry& entry : response.entries) Apply(now, entry);
   known_as_of_ = sent_at_;
-  retry_at_ = response.entries.empty() ? now : now + kBatchDelay;
+  next_request_at_ = response.entries.empty() ? now : now + kBatchDelay;
   Tick(now);
 }
 
 void KeyRangeCache::OnListPage(Micros now, const StateResponse& response) {
   // The watch starts at the revision of the first page, so no change between pages is missed.
-  if (page_after_.empty()) {
+  if (list_start_after_.empty()) {
     first_page_revision_ = response.revision;
     listed_keys_.clear();
   }
   for (const Entry& entry : response.entries) {
     listed_keys_.insert(entry.key);
     Apply(now, entry);
-    page_after_ = entry.key;
+    list_start_after_ = entry.key;
   }
   if (response.has_more) return SendNext(now);
   DeleteUnlisted(now, response.revision);
   listed_keys_.clear();
-  page_after_.clear();
+  list_start_after_.clear();
   synced_ = true;
   listing_ = false;
   revision_ = first_page_revision_;
@@ -114,7 +114,7 @@
 
 void KeyRangeCache::RestartList() {
   listing_ = true;
-  page_after_.clear();
+  list_start_after_.clear();
 }
 
 void KeyRangeCache::Apply(Micros now, const Entry& entry) {
--- a/src/core/outbox/key_range_cache.h
+++ b/src/core/outbox/key_range_cache.h
@@ -58,10 +58,10 @@
   bool synced_ = false;
   bool listing_ = true;
   int failures_ = 0;
-  Micros retry_at_;
+  Micros next_request_at_;
   Micros sent_at_;
   Micros known_as_of_{-1000000000};
-  std::string page_after_;
+  std::string list_start_after_;
   uint64_t revision_ = 0;
   uint64_t first_page_revision_ = 0;
   std::set<std::string> known_keys_;
--- a/src/core/outbox/outbox.cpp
+++ b/src/core/outbox/outbox.cpp
@@ -17,19 +17,19 @@
 
 }  // namespace
 
-void Outbox::SendState(StateRequest request, OnState on_response) {
+void Outbox::SendState(StateRequest request, StateCallback on_response) {
   request.id = ++last_id_;
   state_callbacks_.emplace(request.id, std::move(on_response));
   effects.state_requests.push_back(std::move(request));
 }
 
-void Outbox::SendCloud(CloudRequest request, OnCloud on_response) {
+void Outbox::SendCloud(CloudRequest request, CloudCallback on_response) {
   request.id = ++last_id_;
   cloud_callbacks_.emplace(request.id, std::move(on_response));
   effects.cloud_requests.push_back(std::move(request));
 }
 
-void Outbox::SendCommand(CommandRequest request, OnCommand on_response) {
+void Outbox::SendCommand(CommandRequest request, CommandCallback on_response) {
   request.id = ++last_id_;
   command_callbacks_.emplace(request.id, std::move(on_response));
   effects.command_requests.push_back(std::move(request));
--- a/src/core/outbox/outbox.h
+++ b/src/core/outbox/outbox.h
@@ -14,17 +14,17 @@
 // thread.
 class Outbox {
  public:
-  using OnState = std::function<void(Micros now, StateResponse&)>;
-  using OnCloud = std::function<void(Micros now, CloudResponse&)>;
-  using OnCommand = std::function<void(Micros now, CommandResponse&)>;
+  using StateCallback = std::function<void(Micros now, StateResponse&)>;
+  using CloudCallback = std::function<void(Micros now, CloudResponse&)>;
+  using CommandCallback = std::function<void(Micros now, CommandResponse&)>;
 
   // Pending effects; the owner takes and carries them out after each input.
   Effects effects;
 
   // Queue a request under a new id; `on_response` is called at most once.
-  void SendState(StateRequest request, OnState on_response);
-  void SendCloud(CloudRequest request, OnCloud on_response);
-  void SendCommand(CommandRequest request, OnCommand on_response);
+  void SendState(StateRequest request, StateCallback on_response);
+  void SendCloud(CloudRequest request, CloudCallback on_response);
+  void SendCommand(CommandRequest request, CommandCallback on_response);
 
   // Pass a response to the callback of request `id`. Unknown and duplicate ids are ignored.
   void Deliver(Micros now, RequestId id, StateResponse& response);
@@ -37,9 +37,9 @@
 
  private:
   RequestId last_id_ = 0;
-  std::unordered_map<RequestId, OnState> state_callbacks_;
-  std::unordered_map<RequestId, OnCloud> cloud_callbacks_;
-  std::unordered_map<RequestId, OnCommand> command_callbacks_;
+  std::unordered_map<RequestId, StateCallback> state_callbacks_;
+  std::unordered_map<RequestId, CloudCallback> cloud_callbacks_;
+  std::unordered_map<RequestId, CommandCallback> command_callbacks_;
 };
 
 }  // namespace badgershore
--- a/src/core/placement/array_capacity.cpp
+++ b/src/core/placement/array_capacity.cpp
@@ -15,7 +15,7 @@
 InstanceOffer OfferOf(const Machine& m) { return {m.type_name, m.zone, m.spot}; }
 
 void AddMachine(const Machine& m, Micros now, const CapacityMeter& meter, ArrayCapacity* capacity) {
-  const double cpu = meter.Of(m);
+  const double cpu = meter.CapacityOf(m);
   const bool near_cheapest = meter.IsNearCheapest(m, cpu);
   capacity->total += cpu;
   if (near_cheapest) capacity->cheap_total += cpu;
@@ -40,7 +40,7 @@
   double lowest = 0;
   for (const auto& [name, type] : *snapshot_.machine_types) {
     for (bool spot : {false, true}) {
-      const double capacity = Of(type, typical_->spec.zone.value_or(""), spot);
+      const double capacity = CapacityOf(type, typical_->spec.zone.value_or(""), spot);
       if (capacity <= 0) continue;
       const double price = HourlyPrice(snapshot_, {name, "", spot}) / capacity;
       if (lowest == 0 || price < lowest) lowest = price;
@@ -49,13 +49,14 @@
   return lowest;
 }
 
-double CapacityMeter::Of(const MachineType& type, const std::string& zone, bool spot) const {
+double CapacityMeter::CapacityOf(const MachineType& type, const std::string& zone,
+                                 bool spot) const {
   if (!typical_ || !Allows(typical_->spec, type, zone, spot)) return 0.0;
   const Resources& need = typical_->spec.need;
   return static_cast<double>(type.size.Holds(need) * need.cpu);
 }
 
-double CapacityMeter::Of(const Machine& machine) const {
+double CapacityMeter::CapacityOf(const Machine& machine) const {
   if (!typical_ || !Allows(typical_->spec, *machine.type, machine.zone, machine.spot)) return 0.0;
   const Resources open = machine.type->size - machine.GangUse();
   const Resources& need = typical_->spec.need;
@@ -86,7 +87,7 @@
   }
   for (const auto& [offer, count] : snapshot.pending_scale_out) {
     const MachineType& type = snapshot.machine_types->at(offer.type);
-    const double each = meter.Of(type, offer.zone, offer.spot);
+    const double each = meter.CapacityOf(type, offer.zone, offer.spot);
     const double cpu = count * each;
     const bool near_cheapest = meter.IsNearCheapest(offer, each);
     capacity.total += cpu;
--- a/src/core/placement/array_capacity.h
+++ b/src/core/placement/array_capacity.h
@@ -17,9 +17,9 @@
   CapacityMeter(const ScalingSnapshot& snapshot, const Job* typical);
 
   // Capacity of an empty machine.
-  double Of(const MachineType& type, const std::string& zone, bool spot) const;
+  double CapacityOf(const MachineType& type, const std::string& zone, bool spot) const;
   // Capacity of the resources that gangs do not use on the machine.
-  double Of(const Machine& machine) const;
+  double CapacityOf(const Machine& machine) const;
   // Price of a machine per hour and unit of its capacity, which must be positive.
   double UnitPrice(const Machine& machine, double capacity) const;
   // Whether the unit price is near the lowest one for the typical job's tasks.
--- a/src/core/placement/array_scale_out.cpp
+++ b/src/core/placement/array_scale_out.cpp
@@ -21,7 +21,7 @@
     if (shortfall->cheap_deficit <= 0) return;
     if (!m->draining || !IsUsable(*m)) continue;
     decision_->undrain.push_back(m);
-    const double cpu = meter_.Of(*m);
+    const double cpu = meter_.CapacityOf(*m);
     capacity->total += cpu;
     shortfall->deficit -= cpu;
     shortfall->cheap_deficit -= cpu;
@@ -32,9 +32,9 @@
                                            const ArrayCapacity& capacity) {
   if (shortfall->cheap_deficit <= 0) return;
   std::map<InstanceOffer, int> requested;
-  const std::vector<InstanceOffer> offers = offers_.For(snapshot_, demand_.typical->spec);
+  const std::vector<InstanceOffer> offers = offers_.OffersFor(snapshot_, demand_.typical->spec);
   for (int i = 0; i < kMaxMachinesPerDecision && shortfall->cheap_deficit > 0; ++i) {
-    const Choice choice = ChooseOffer(offers, *shortfall, capacity);
+    const OfferChoice choice = ChooseOffer(offers, *shortfall, capacity);
     if (!choice.offer) break;
     ++requested[*choice.offer];
     shortfall->deficit -= choice.capacity;
@@ -45,15 +45,15 @@
 
 // The offer with the lowest price per unit of capacity that would be used. Offers that are not near
 // the lowest unit price are requested only for work that would be late otherwise.
-ArrayScaleOutPlanner::Choice ArrayScaleOutPlanner::ChooseOffer(
+ArrayScaleOutPlanner::OfferChoice ArrayScaleOutPlanner::ChooseOffer(
     const std::vector<InstanceOffer>& offers, const ArrayShortfall& shortfall,
     const ArrayCapacity& capacity) const {
   const double missing = shortfall.deficit > 0 ? shortfall.deficit : shortfall.cheap_deficit;
-  Choice best;
+  OfferChoice best;
   double best_cost = 0;
   for (const InstanceOffer& offer : offers) {
     const MachineType& type = snapshot_.machine_types->at(offer.type);
-    const double cpu = meter_.Of(type, offer.zone, offer.spot);
+    const double cpu = meter_.CapacityOf(type, offer.zone, offer.spot);
     if (cpu <= 0) continue;
     if (!meter_.IsNearCheapest(offer, cpu) &&
         (shortfall.deficit <= 0 || IsDoneBeforeBoot(type, capacity))) {
@@ -78,7 +78,7 @@
   for (const Job* job : snapshot_.jobs) {
     if (job->IsGang() || job->finishing || job->WantedTasks() == job->placed) continue;
     if (HasMachineFor(*job)) continue;
-    const std::vector<InstanceOffer> offers = offers_.For(snapshot_, job->spec);
+    const std::vector<InstanceOffer> offers = offers_.OffersFor(snapshot_, job->spec);
     const InstanceOffer* cheapest = CheapestOffer(snapshot_, offers);
     if (cheapest) decision_->scale_out.push_back({*cheapest, 1});
   }
--- a/src/core/placement/array_scale_out.h
+++ b/src/core/placement/array_scale_out.h
@@ -27,14 +27,14 @@
   void PlanForUnplaceableJobs();
 
  private:
-  struct Choice {
+  struct OfferChoice {
     const InstanceOffer* offer = nullptr;  // null if no offer is worth its price
     double capacity = 0;
   };
   void Undrain(ArrayShortfall* shortfall, ArrayCapacity* capacity);
   void RequestMachines(ArrayShortfall* shortfall, const ArrayCapacity& capacity);
-  Choice ChooseOffer(const std::vector<InstanceOffer>& offers, const ArrayShortfall& shortfall,
-                     const ArrayCapacity& capacity) const;
+  OfferChoice ChooseOffer(const std::vector<InstanceOffer>& offers, const ArrayShortfall& shortfall,
+                          const ArrayCapacity& capacity) const;
   bool IsDoneBeforeBoot(const MachineType& type, const ArrayCapacity& capacity) const;
   bool HasMachineFor(const Job& job) const;
 
--- a/src/core/placement/array_shortfall.cpp
+++ b/src/core/placement/array_shortfall.cpp
@@ -11,7 +11,7 @@
 
 enum class PriceRange { kAny, kNearCheapest };
 
-struct Gap {
+struct CapacityGap {
   double required = 0;
   double deficit = 0;
 };
@@ -37,8 +37,8 @@
   return seconds >= runtime ? std::floor(seconds / runtime) * runtime : seconds;
 }
 
-Gap MeasureGap(const ArrayDemand& demand, const ArrayCapacity& capacity, PriceRange range) {
-  Gap gap;
+CapacityGap MeasureGap(const ArrayDemand& demand, const ArrayCapacity& capacity, PriceRange range) {
+  CapacityGap gap;
   gap.required = demand.arrival_rate;
   double worst = 0;
   double work = 0;
@@ -58,7 +58,7 @@
   return gap;
 }
 
-void MoveDueTimesAhead(ArrayDemand* demand) {
+void MoveDueTimesEarlier(ArrayDemand* demand) {
   for (DueWork& due : demand->due) {
     due.remaining =
         std::min(due.remaining, demand->shortest_boot + due.estimated_runtime + kCheapStartDelay);
@@ -79,14 +79,14 @@
                                      const UrgentLoadForecast& urgent_load,
                                      const Options& options) {
   ArrayShortfall shortfall;
-  const Gap gap = MeasureGap(*demand, capacity, PriceRange::kAny);
+  const CapacityGap gap = MeasureGap(*demand, capacity, PriceRange::kAny);
   shortfall.deficit = gap.deficit;
   shortfall.required = std::min({gap.required, demand->max_parallel_cpu + demand->arrival_rate,
                                  demand->total_cpu_limit}) +
                        demand->service_cpu;
   shortfall.urgent_reserve = UrgentReserve(*demand, urgent_load, options);
-  MoveDueTimesAhead(demand);
-  const Gap cheap_gap = MeasureGap(*demand, capacity, PriceRange::kNearCheapest);
+  MoveDueTimesEarlier(demand);
+  const CapacityGap cheap_gap = MeasureGap(*demand, capacity, PriceRange::kNearCheapest);
   shortfall.cheap_deficit = std::max(gap.deficit, cheap_gap.deficit);
   shortfall.cheap_deficit =
       std::max(shortfall.cheap_deficit, shortfall.urgent_reserve - capacity.cheap_total);
--- a/src/core/placement/gang_scale_out.cpp
+++ b/src/core/placement/gang_scale_out.cpp
@@ -97,7 +97,7 @@
     int waiting = 0;
     for (const Job* job : snapshot_.jobs) {
       if (!job->IsGang() || job->gang_attempt != 0 || job->finishing || job->IsFaulty()) continue;
-      if (!TakeQuota(job->team, job->spec, job->remaining())) continue;
+      if (!ReserveQuota(job->team, job->spec, job->remaining())) continue;
       for (int i = 0; i < job->remaining(); ++i) ProvideForMember(job->spec);
       waiting += job->remaining();
     }
@@ -112,7 +112,7 @@
       const int expected = GangForecast::ExpectedMembers(demand, LongestBoot(demand.spec),
                                                          snapshot_.now, options_.gang_spare);
       const int team = snapshot_.team_index ? snapshot_.team_index(demand.spec.team) : -1;
-      for (int i = 0; i < expected && TakeQuota(team, demand.spec, 1); ++i) {
+      for (int i = 0; i < expected && ReserveQuota(team, demand.spec, 1); ++i) {
         ProvideForMember(demand.spec);
       }
     }
@@ -134,7 +134,7 @@
       if (room.machine) decision_->reserved_for_gangs.insert(room.machine);
       return;
     }
-    const std::vector<InstanceOffer> offers = offers_.For(snapshot_, spec);
+    const std::vector<InstanceOffer> offers = offers_.OffersFor(snapshot_, spec);
     const InstanceOffer* cheapest = CheapestOffer(snapshot_, offers);
     if (!cheapest) return;
     ++requested_[*cheapest];
@@ -144,12 +144,12 @@
 
   // Deducts the members' CPU from the team's headroom; false if that is not enough: members that
   // the quota keeps from starting need no machines.
-  bool TakeQuota(int team, const JobSpec& spec, int members) {
+  bool ReserveQuota(int team, const JobSpec& spec, int members) {
     if (!snapshot_.gang_cpu_headroom) return true;
-    int64_t& taken = quota_taken_[{team, spec.priority}];
+    int64_t& reserved_cpu = reserved_quota_[{team, spec.priority}];
     const int64_t cpu = spec.need.cpu * members;
-    if (cpu > snapshot_.gang_cpu_headroom(team, spec.priority) - taken) return false;
-    taken += cpu;
+    if (cpu > snapshot_.gang_cpu_headroom(team, spec.priority) - reserved_cpu) return false;
+    reserved_cpu += cpu;
     return true;
   }
 
@@ -160,7 +160,7 @@
   ScalingDecision* decision_;
   std::vector<MachineRoom> rooms_;
   std::map<InstanceOffer, int> requested_;
-  std::map<TeamPriority, int64_t> quota_taken_;
+  std::map<TeamPriority, int64_t> reserved_quota_;
 };
 
 }  // namespace
--- a/src/core/placement/guardrails.cpp
+++ b/src/core/placement/guardrails.cpp
@@ -24,8 +24,8 @@
 }
 
 double NormalizedWork(const JobSpec& spec, const Resources& open) {
-  const auto places = static_cast<double>(std::max<int64_t>(1, open.Holds(spec.need)));
-  return std::max(spec.estimated_runtime.ToSeconds(), kMinWorkSeconds) / places;
+  const auto task_capacity = static_cast<double>(std::max<int64_t>(1, open.Holds(spec.need)));
+  return std::max(spec.estimated_runtime.ToSeconds(), kMinWorkSeconds) / task_capacity;
 }
 
 LeastWorkPolicy::LeastWorkPolicy(const Job& job, const std::vector<EligibleMachine>& machines)
@@ -48,7 +48,7 @@
     in_turn_ = true;
     std::pop_heap(turns_.begin(), turns_.end(), std::greater<>());
     const Machine& next = *machines_[turns_.back().index].machine;
-    tasks_left_in_turn_ = std::max<int64_t>(1, FreePlaces(next));
+    tasks_left_in_turn_ = std::max<int64_t>(1, TasksThatFit(next));
   }
   --tasks_left_in_turn_;
   Turn& turn = turns_.back();
@@ -57,7 +57,7 @@
 }
 
 // Number of the job's tasks that the machine can start in addition to its running and queued tasks.
-int64_t LeastWorkPolicy::FreePlaces(const Machine& m) const {
+int64_t LeastWorkPolicy::TasksThatFit(const Machine& m) const {
   Resources taken = m.Used();
   // Stops as soon as the machine is full: under load its queue has hundreds of jobs.
   for (const auto& [key, entry] : m.queue) {
--- a/src/core/placement/guardrails.h
+++ b/src/core/placement/guardrails.h
@@ -52,7 +52,7 @@
       return std::tie(received, needs_image, index) > std::tie(o.received, o.needs_image, o.index);
     }
   };
-  int64_t FreePlaces(const Machine& m) const;
+  int64_t TasksThatFit(const Machine& m) const;
 
   const Job& job_;
   const std::vector<EligibleMachine>& machines_;
--- a/src/core/placement/instance_offers.cpp
+++ b/src/core/placement/instance_offers.cpp
@@ -13,8 +13,8 @@
   return it != refused_until_.end() && now < it->second;
 }
 
-std::vector<InstanceOffer> InstanceOffers::For(const ScalingSnapshot& snapshot,
-                                               const JobSpec& spec) const {
+std::vector<InstanceOffer> InstanceOffers::OffersFor(const ScalingSnapshot& snapshot,
+                                                     const JobSpec& spec) const {
   std::vector<InstanceOffer> offers;
   for (const auto& [name, type] : *snapshot.machine_types) {
     const auto& zones = type.zones.empty() ? *snapshot.zones : type.zones;
--- a/src/core/placement/instance_offers.h
+++ b/src/core/placement/instance_offers.h
@@ -16,7 +16,7 @@
   // Excludes the offer for `Options::refusal_memory`.
   void RecordRefusal(const InstanceOffer& offer, Micros now);
   // Offers whose machines may hold a task of the job, ordered by type, zone and spot.
-  std::vector<InstanceOffer> For(const ScalingSnapshot& snapshot, const JobSpec& spec) const;
+  std::vector<InstanceOffer> OffersFor(const ScalingSnapshot& snapshot, const JobSpec& spec) const;
 
  private:
   bool IsRefused(const InstanceOffer& offer, Micros now) const;
--- a/src/core/placement/scale_in.cpp
+++ b/src/core/placement/scale_in.cpp
@@ -50,7 +50,7 @@
   if (machine->idle_since.count >= 0 && DecideIdle(machine, held_for_gangs)) return;
   if (machine->draining || held_for_gangs) return;
   if (snapshot_.now - machine->rented_at < kMinBilledTime) return;
-  const double capacity = meter_.Of(*machine);
+  const double capacity = meter_.CapacityOf(*machine);
   if (capacity <= 0) return;
   candidates_.push_back(
       {machine, meter_.UnitPrice(*machine, capacity), capacity, machine->allocations.size()});
@@ -65,7 +65,7 @@
 // Decides on an idle machine: true if it is released now or must be kept, false if it may still be
 // drained.
 bool ScaleInPlanner::DecideIdle(Machine* machine, bool held_for_gangs) {
-  const double capacity = meter_.Of(*machine);
+  const double capacity = meter_.CapacityOf(*machine);
   const bool near_cheapest = !machine->draining && meter_.IsNearCheapest(*machine, capacity);
   // By idle time alone, the cheap machines would be released and the expensive ones, which were
   // added later, would stay.
