--- a/src/core/controller/peer_view.cpp
+++ b/src/core/controller/peer_view.cpp
@@ -6,7 +6,8 @@
 namespace badgershore {
 namespace {
 
-// Peers send their status twice a second. A status is recent, or expired, after these times.
+// Peers send their status twice a second. A status counts as recent up to the first age and is
+// ignored after the second.
 constexpr Micros kRecentStatusAge = Millis(1500);
 constexpr Micros kStatusExpiry = Seconds(3);
 
--- a/src/core/controller/peer_view.h
+++ b/src/core/controller/peer_view.h
@@ -30,8 +30,9 @@
   // Announces to the other members that this one leaves.
   void Leave(Micros now);
 
-  // Number of members that become candidates before this one when there is no leader: those that
-  // seem alive and reach the state service or receive heartbeats.
+  // Number of members that become candidates before this one when there is no leader. Members that
+  // are not suspected go first, then those that reach the state service, then those that receive
+  // heartbeats, then by name.
   int ElectionPosition(Micros now) const;
   // The peer to hand leadership over to, among those with a recent status: preferably one that
   // reaches the state service, then one that receives heartbeats, then the first by name. Empty if
--- a/src/core/election/leader_authority.h
+++ b/src/core/election/leader_authority.h
@@ -20,7 +20,7 @@
  public:
   // `jobs`: cache of the live jobs' records; a cancellation deletes its job's record.
   // `cancel_deadline`: time within which the tasks of a cancelled job must have stopped.
-  // `agent_lease` and `leader_lease`: durations of the leases.
+  // `agent_lease`, `leader_lease`: durations of the leases.
   LeaderAuthority(const Election* election, const KeyRangeCache* jobs, Micros cancel_deadline,
                   Micros agent_lease, Micros leader_lease)
       : election_(election),
