--- a/tests/admission_control_test.cpp
+++ b/tests/admission_control_test.cpp
@@ -9,26 +9,26 @@
 // Guards against one team's thousand single-task jobs using up the writes that another team needs
 // for its few jobs.
 TEST(AdmissionControl, RejectsTheTeamThatSubmitsMostWhileWritesAreRateLimited) {
-  AdmissionControl a;
+  AdmissionControl admission;
   Micros now = Seconds(100);
-  const auto flood = [&](int jobs) {
-    int away = 0;
-    for (int i = 0; i < jobs; ++i) away += a.RetryAfterSeconds(now, "guests") > 0;
-    return away;
+  const auto submit_as_guests = [&](int jobs) {
+    int rejected = 0;
+    for (int i = 0; i < jobs; ++i) rejected += admission.RetryAfterSeconds(now, "guests") > 0;
+    return rejected;
   };
-  EXPECT_EQ(a.RetryAfterSeconds(now, "home"), 0);
-  EXPECT_EQ(flood(50), 0);  // no write has been rate limited yet
-  a.OnRateLimited(now);
-  EXPECT_EQ(flood(20), 20);
-  EXPECT_EQ(a.RetryAfterSeconds(now, "home"), 0);
-  EXPECT_EQ(a.RetryAfterSeconds(now, "third"), 0);
-  EXPECT_LE(a.RetryAfterSeconds(now, "guests"), 10);  // short enough for users to wait
+  EXPECT_EQ(admission.RetryAfterSeconds(now, "home"), 0);
+  EXPECT_EQ(submit_as_guests(50), 0);  // no write has been rate limited yet
+  admission.OnRateLimited(now);
+  EXPECT_EQ(submit_as_guests(20), 20);
+  EXPECT_EQ(admission.RetryAfterSeconds(now, "home"), 0);
+  EXPECT_EQ(admission.RetryAfterSeconds(now, "third"), 0);
+  EXPECT_LE(admission.RetryAfterSeconds(now, "guests"), 10);  // short enough for users to wait
   now = now + Seconds(4);
-  EXPECT_EQ(flood(1), 0);  // the limit was not reached again
+  EXPECT_EQ(submit_as_guests(1), 0);  // the limit was not reached again
   // A single team is never rejected, no matter how many jobs it submits.
-  AdmissionControl alone;
-  alone.OnRateLimited(now);
-  for (int i = 0; i < 100; ++i) EXPECT_EQ(alone.RetryAfterSeconds(now, "home"), 0);
+  AdmissionControl single_team;
+  single_team.OnRateLimited(now);
+  for (int i = 0; i < 100; ++i) EXPECT_EQ(single_team.RetryAfterSeconds(now, "home"), 0);
 }
 
 }  // namespace
--- a/tests/progress_test.cpp
+++ b/tests/progress_test.cpp
@@ -12,12 +12,12 @@
   job.tasks.resize(37);
   const std::vector<int> done = {0, 3, 15, 16, 17, 31, 32, 36};
   for (int t : done) job.tasks[static_cast<size_t>(t)].stage = TaskStage::kDone;
-  std::vector<int> back;
+  std::vector<int> decoded;
   for (int chunk = 0; chunk < 3; ++chunk) {
     DecodeProgress(EncodeProgress(job, chunk, 16), chunk, 16, 37,
-                   [&](int t) { back.push_back(t); });
+                   [&](int t) { decoded.push_back(t); });
   }
-  EXPECT_EQ(back, done);
+  EXPECT_EQ(decoded, done);
   std::string id;
   int chunk = 0;
   ASSERT_TRUE(ParseProgressItem(ProgressItem("job-9", 2), &id, &chunk));
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -18,11 +18,11 @@
 namespace badgershore {
 namespace {
 
-std::vector<std::string> Split(const std::string& s, char by) {
+std::vector<std::string> Split(const std::string& s, char separator) {
   std::vector<std::string> out;
   std::string word;
   std::istringstream in(s);
-  while (std::getline(in, word, by)) {
+  while (std::getline(in, word, separator)) {
     const size_t a = word.find_first_not_of(' ');
     if (a == std::string::npos) continue;
     out.push_back(word.substr(a, word.find_last_not_of(' ') - a + 1));
@@ -30,159 +30,160 @@
   return out;
 }
 
-// The words of a step: plain words, and "key=value" words by key.
-struct Words {
-  std::vector<std::string> plain;
+// The words of a step: positional words, and "key=value" words by key.
+struct StepWords {
+  std::vector<std::string> positional;
   std::map<std::string, std::string> named;
-  explicit Words(const std::string& line) {
+  explicit StepWords(const std::string& line) {
     for (const std::string& w : Split(line, ' ')) {
       const size_t eq = w.find('=');
       if (eq == std::string::npos) {
-        plain.push_back(w);
+        positional.push_back(w);
       } else {
         named[w.substr(0, eq)] = w.substr(eq + 1);
       }
     }
   }
-  std::string At(size_t i) const { return i < plain.size() ? plain[i] : ""; }
+  std::string At(size_t i) const { return i < positional.size() ? positional[i] : ""; }
   bool Has(const std::string& flag) const {
-    return std::find(plain.begin(), plain.end(), flag) != plain.end();
+    return std::find(positional.begin(), positional.end(), flag) != positional.end();
   }
-  double Number(const std::string& key, double otherwise) const {
+  double Number(const std::string& key, double default_value) const {
     auto it = named.find(key);
-    return it == named.end() ? otherwise : std::stod(it->second);
+    return it == named.end() ? default_value : std::stod(it->second);
   }
-  std::string Text(const std::string& key, const std::string& otherwise = "") const {
+  std::string Text(const std::string& key, const std::string& default_value = "") const {
     auto it = named.find(key);
-    return it == named.end() ? otherwise : it->second;
+    return it == named.end() ? default_value : it->second;
   }
 };
 
 // Attempts are written as TERM.COUNT.
-std::string ShowAttempt(uint64_t a) {
+std::string FormatAttempt(uint64_t a) {
   return std::to_string(a >> 24) + "." + std::to_string(a & 0xffffff);
 }
-uint64_t ReadAttempt(const std::string& s) {
+uint64_t ParseAttempt(const std::string& s) {
   const size_t dot = s.find('.');
   return (std::stoull(s.substr(0, dot)) << 24) + std::stoull(s.substr(dot + 1));
 }
-std::string ShowSeconds(Micros m) {
+std::string FormatSeconds(Micros m) {
   std::ostringstream out;
   out << m.ToSeconds();
   return out.str();
 }
-std::string ShowOrders(const std::vector<Command>& orders) {
+std::string FormatCommands(const std::vector<Command>& commands) {
   std::string out;
-  for (const Command& o : orders) {
+  for (const Command& o : commands) {
     if (!out.empty()) out += "; ";
     out += o.verb == Command::Verb::kStart  ? "start "
            : o.verb == Command::Verb::kStop ? "halt "
                                             : "clear ";
-    out += o.ref.job + "/" + std::to_string(o.ref.task) + "@" + ShowAttempt(o.attempt);
-    if (o.verb == Command::Verb::kStop) out += " grace " + ShowSeconds(o.grace_period);
+    out += o.ref.job + "/" + std::to_string(o.ref.task) + "@" + FormatAttempt(o.attempt);
+    if (o.verb == Command::Verb::kStop) out += " grace " + FormatSeconds(o.grace_period);
   }
   return out.empty() ? "nothing" : out;
 }
 
-struct Stop {
-  std::string what;
+struct TraceFailure {
+  std::string message;
 };
 
-class Store {
+class StateServiceEmulator {
  public:
-  enum class Mode { kUp, kRefusing, kSilent, kLosing };
+  enum class Mode { kUp, kRefusing, kUnresponsive, kLosingResponses };
   Mode mode = Mode::kUp;
-  uint64_t epoch = 0;
+  uint64_t revision = 0;
   struct Item {
     Record value;
-    uint64_t stamp = 0, lease = 0;
+    uint64_t version = 0, lease = 0;
   };
   std::map<std::string, Item> items;
   std::vector<Entry> history;
-  std::vector<StateRequest> held;  // received while kSilent, to be carried out late
-  uint64_t leases = 100;
+  // Requests that arrived while kUnresponsive, to be carried out late.
+  std::vector<StateRequest> delayed_requests;
+  uint64_t last_lease = 100;
   std::set<uint64_t> live_leases;
 
   void Put(const std::string& key, Record value, uint64_t lease = 0) {
-    items[key] = Item{std::move(value), epoch, lease};
-    history.push_back(Entry{key, items[key].value, epoch, false});
+    items[key] = Item{std::move(value), revision, lease};
+    history.push_back(Entry{key, items[key].value, revision, false});
   }
   void Erase(const std::string& key) {
-    if (items.erase(key)) history.push_back(Entry{key, {}, epoch, true});
+    if (items.erase(key)) history.push_back(Entry{key, {}, revision, true});
   }
-  void EndLease(uint64_t lease) {
+  void RemoveLease(uint64_t lease) {
     live_leases.erase(lease);
-    std::vector<std::string> gone;
+    std::vector<std::string> leased_keys;
     for (auto& [k, i] : items)
-      if (i.lease == lease) gone.push_back(k);
-    if (!gone.empty()) ++epoch;
-    for (const std::string& k : gone) Erase(k);
+      if (i.lease == lease) leased_keys.push_back(k);
+    if (!leased_keys.empty()) ++revision;
+    for (const std::string& k : leased_keys) Erase(k);
   }
-  static bool Under(const std::string& key, const std::string& prefix) {
+  static bool HasPrefix(const std::string& key, const std::string& prefix) {
     return key.compare(0, prefix.size(), prefix) == 0;
   }
-  StateResponse Do(const StateRequest& op) {
+  StateResponse Execute(const StateRequest& request) {
     using K = StateRequest::Kind;
     using O = StateResponse::Outcome;
     StateResponse r;
     r.outcome = O::kOk;
-    r.revision = epoch;
-    switch (op.kind) {
+    r.revision = revision;
+    switch (request.kind) {
       case K::kGet: {
-        auto it = items.find(op.key);
+        auto it = items.find(request.key);
         if (it == items.end()) {
           r.outcome = O::kNotFound;
         } else {
-          r.entries.push_back(Entry{op.key, it->second.value, it->second.stamp, false});
+          r.entries.push_back(Entry{request.key, it->second.value, it->second.version, false});
         }
         break;
       }
       case K::kList:
         for (auto& [k, i] : items) {
-          if (Under(k, op.key) && k > op.start_after)
-            r.entries.push_back(Entry{k, i.value, i.stamp, false});
+          if (HasPrefix(k, request.key) && k > request.start_after)
+            r.entries.push_back(Entry{k, i.value, i.version, false});
         }
         break;
       case K::kCompareAndSwap: {
-        for (const Precondition& g : op.preconditions) {
+        for (const Precondition& g : request.preconditions) {
           auto it = items.find(g.key);
-          if ((it == items.end() ? 0 : it->second.stamp) != g.version)
+          if ((it == items.end() ? 0 : it->second.version) != g.version)
             r.failed_keys.push_back(g.key);
         }
         if (!r.failed_keys.empty()) {
           r.outcome = O::kConflict;
           break;
         }
-        for (const Mutation& c : op.mutations) {
+        for (const Mutation& c : request.mutations) {
           if (c.lease != 0 && !live_leases.count(c.lease)) {
             r.outcome = O::kInvalid;
             return r;
           }
         }
-        ++epoch;
-        for (const Mutation& c : op.mutations) {
+        ++revision;
+        for (const Mutation& c : request.mutations) {
           if (c.is_delete) {
             Erase(c.key);
           } else {
             Put(c.key, c.value, c.lease);
           }
         }
-        r.revision = epoch;
+        r.revision = revision;
         break;
       }
       case K::kGrantLease:
-        r.lease = ++leases;
+        r.lease = ++last_lease;
         live_leases.insert(r.lease);
         break;
       case K::kRenewLease:
-        if (!live_leases.count(op.lease)) r.outcome = O::kNotFound;
+        if (!live_leases.count(request.lease)) r.outcome = O::kNotFound;
         break;
       case K::kRevokeLease:
-        EndLease(op.lease);
+        RemoveLease(request.lease);
         break;
       case K::kWatch:
         for (const Entry& e : history) {
-          if (e.version > op.revision && Under(e.key, op.key)) r.entries.push_back(e);
+          if (e.version > request.revision && HasPrefix(e.key, request.key)) r.entries.push_back(e);
         }
         break;
     }
@@ -190,9 +191,9 @@
   }
 };
 
-class Player {
+class TraceRunner {
  public:
-  Player() {
+  TraceRunner() {
     settings_.member = "m-0";
     settings_.site = "a";
     settings_.members = {{"m-1", "x:1"}, {"m-2", "x:2"}};
@@ -218,17 +219,17 @@
     big.price = 6;
     big.spot_price = 2;
     types_ = {box, big};
-    rents_ = false;
+    cloud_has_capacity_ = false;
     // Heartbeats are answered at once unless the trace sets this option.
     options_.hold_checkin = {};
   }
 
-  void Line(const std::string& line) {
+  void RunStep(const std::string& line) {
     const size_t bar = line.find('|');
-    const Words w(line.substr(0, bar));
+    const StepWords w(line.substr(0, bar));
     const std::string tail = bar == std::string::npos ? "" : line.substr(bar + 1);
     const std::string verb = w.At(0);
-    if (verb == "option") return Option(w);
+    if (verb == "option") return SetOptions(w);
     if (!core_) core_ = std::make_unique<Controller>(settings_, options_);
     if (verb == "advance") return Advance(Seconds(std::stod(w.At(1))));
     if (verb == "stands") {  // the process pauses while its clocks go on
@@ -238,69 +239,70 @@
     if (verb == "restart") {
       core_ = std::make_unique<Controller>(settings_, options_);
       watches_.clear();
-      direct_.clear();
+      open_commands_.clear();
       return;
     }
     if (verb == "retire") {
       core_->BeginHandover(now_);
-      return Pump();
+      return CarryOutEffects();
     }
     if (verb == "job") return SubmitJob(w);
     if (verb == "query") {
-      core_->OnQuery(now_, ++token_, w.At(1));
-      return Pump();
+      core_->OnQuery(now_, ++last_request_id_, w.At(1));
+      return CarryOutEffects();
     }
     if (verb == "withdraw") {
-      core_->OnCancel(now_, ++token_, w.At(1));
-      return Pump();
+      core_->OnCancel(now_, ++last_request_id_, w.At(1));
+      return CarryOutEffects();
     }
-    if (verb == "answers") return Expect(line.substr(8), last_answer_);
+    if (verb == "answers") return ExpectEqual(line.substr(8), last_api_response_);
     if (verb == "report") {
-      last_reports_[w.At(1)] = line;
-      return SendReport(w, tail);
+      last_heartbeat_steps_[w.At(1)] = line;
+      return SendHeartbeat(w, tail);
     }
     if (verb == "keeps") {
       for (int s = 0; s < std::stoi(w.At(1)); ++s) {
         Advance(Seconds(1));
-        for (size_t i = 2; i < w.plain.size(); ++i) Line(last_reports_.at(w.At(i)));
+        for (size_t i = 2; i < w.positional.size(); ++i) RunStep(last_heartbeat_steps_.at(w.At(i)));
       }
       return;
     }
-    if (verb == "gets") return Expect(line.substr(5), last_checkin_);
-    if (verb == "sees") return Sees(line.substr(5));
+    if (verb == "gets") return ExpectEqual(line.substr(5), last_heartbeat_response_);
+    if (verb == "sees") return ExpectSeen(line.substr(5));
     if (verb == "logs") {
-      for (const std::string& said : logs_)
-        if (said.find(line.substr(5)) != std::string::npos) return;
-      throw Stop{"no log line contains this text"};
+      for (const std::string& logged_line : logged_lines_)
+        if (logged_line.find(line.substr(5)) != std::string::npos) return;
+      throw TraceFailure{"no log line contains this text"};
     }
-    if (verb == "unseen") return Unseen(line.substr(7));
-    if (verb == "forget") return seen_.clear();
-    if (verb == "direct") return AnswerDirect(w, tail);
-    if (verb == "state") return SetState(w.At(1));
-    if (verb == "store") return CheckStore(w);
-    if (verb == "elsewhere") return Elsewhere(w);
-    if (verb == "cloud") return SetCloud(w, tail);
+    if (verb == "unseen") return ExpectNotSeen(line.substr(7));
+    if (verb == "forget") return seen_effects_.clear();
+    if (verb == "direct") return RespondToCommand(w, tail);
+    if (verb == "state") return SetStateServiceMode(w.At(1));
+    if (verb == "store") return CheckStateService(w);
+    if (verb == "elsewhere") return ApplyExternalEvent(w);
+    if (verb == "cloud") return SetCloudMode(w, tail);
     if (verb == "peer") {
-      PeerStatus note;
-      note.from = w.At(1);
-      note.term = static_cast<uint64_t>(w.Number("term", 1));
-      note.leader = w.Text("leader", "m-0");
-      note.state_service_reachable = w.Has("state");
-      note.receives_heartbeats = w.Has("hears");
-      if (w.named.contains("calls_off")) note.cancelling = {w.Text("calls_off")};
-      if (w.named.contains("called_off")) note.cancelled = {w.Text("called_off")};
-      core_->OnPeerStatus(now_, note);
-      return Pump();
+      PeerStatus status;
+      status.from = w.At(1);
+      status.term = static_cast<uint64_t>(w.Number("term", 1));
+      status.leader = w.Text("leader", "m-0");
+      status.state_service_reachable = w.Has("state");
+      status.receives_heartbeats = w.Has("hears");
+      if (w.named.contains("calls_off")) status.cancelling = {w.Text("calls_off")};
+      if (w.named.contains("called_off")) status.cancelled = {w.Text("called_off")};
+      core_->OnPeerStatus(now_, status);
+      return CarryOutEffects();
     }
     if (verb == "leads" || verb == "follows") {
-      if (core_->leads() != (verb == "leads")) throw Stop{"the controller has the other role"};
+      if (core_->leads() != (verb == "leads"))
+        throw TraceFailure{"the controller has the other role"};
       return;
     }
-    throw Stop{"unknown step"};
+    throw TraceFailure{"unknown step"};
   }
 
  private:
-  void Option(const Words& w) {
+  void SetOptions(const StepWords& w) {
     options_.rebind_wait = Seconds(w.Number("rebind_wait", options_.rebind_wait.ToSeconds()));
     options_.stuck_after = Seconds(w.Number("stuck_after", options_.stuck_after.ToSeconds()));
     options_.hold_checkin = Seconds(w.Number("hold_checkin", 0));
@@ -312,121 +314,123 @@
     while (now_ < end) {
       now_ = std::min(end, now_ + Millis(100));
       core_->Tick(now_, 1000000 + now_.ToMillis());
-      Pump();
+      CarryOutEffects();
     }
   }
 
   // Carries out the core's effects until there are no more.
-  void Pump() {
+  void CarryOutEffects() {
     for (int round = 0; round < 200; ++round) {
       Effects out = core_->TakeEffects();
       for (const HeartbeatResponse& a : out.heartbeat_responses) {
-        if (a.request_id != checkin_token_) continue;
-        last_checkin_ = std::to_string(a.status);
+        if (a.request_id != heartbeat_request_id_) continue;
+        last_heartbeat_response_ = std::to_string(a.status);
         if (a.status == 200) {
-          last_checkin_ +=
-              " baton " + std::to_string(a.fencing_token) + ": " + ShowOrders(a.commands);
+          last_heartbeat_response_ +=
+              " baton " + std::to_string(a.fencing_token) + ": " + FormatCommands(a.commands);
         }
-        if (a.status == 421) last_checkin_ += " " + a.leader;
+        if (a.status == 421) last_heartbeat_response_ += " " + a.leader;
       }
       for (const ApiResponse& a : out.api_responses) {
         static const char* kPhases[] = {"pending", "running", "done", "withdrawn"};
-        last_answer_ = std::to_string(a.status);
+        last_api_response_ = std::to_string(a.status);
         if (a.status == 200 || a.status == 201) {
-          last_answer_ += std::string(" ") + kPhases[static_cast<int>(a.phase)];
+          last_api_response_ += std::string(" ") + kPhases[static_cast<int>(a.phase)];
         }
       }
       for (CommandRequest& d : out.command_requests) {
         std::string text = "direct " + d.machine + " baton " + std::to_string(d.fencing_token) +
-                           ": " + ShowOrders(d.commands);
-        seen_.push_back(text);
-        direct_[d.machine].push_back(d);
+                           ": " + FormatCommands(d.commands);
+        seen_effects_.push_back(text);
+        open_commands_[d.machine].push_back(d);
       }
-      for (const LogLine& l : out.log) logs_.push_back(l.text);
-      for (const CloudRequest& c : out.cloud_requests) RunCloud(c);
-      bool any = !out.cloud_requests.empty();
-      for (StateRequest& op : out.state_requests) any |= RunStateOp(op);
-      any |= RunWatches();
-      if (!any) return;
+      for (const LogLine& l : out.log) logged_lines_.push_back(l.text);
+      for (const CloudRequest& c : out.cloud_requests) ServeCloudRequest(c);
+      bool progressed = !out.cloud_requests.empty();
+      for (StateRequest& request : out.state_requests) progressed |= ExecuteStateRequest(request);
+      progressed |= ServeWatches();
+      if (!progressed) return;
     }
-    throw Stop{"the core keeps sending requests"};
+    throw TraceFailure{"the core keeps sending requests"};
   }
 
-  bool RunStateOp(const StateRequest& op) {
-    if (op.kind == StateRequest::Kind::kWatch) {
-      watches_.push_back({op, now_});
+  bool ExecuteStateRequest(const StateRequest& request) {
+    if (request.kind == StateRequest::Kind::kWatch) {
+      watches_.push_back({request, now_});
       return false;
     }
     StateResponse r;
-    if (lists_hang_ && op.kind == StateRequest::Kind::kList) {
-      core_->OnStateResponse(now_, op.id, std::move(r));
+    if (lists_hang_ && request.kind == StateRequest::Kind::kList) {
+      core_->OnStateResponse(now_, request.id, std::move(r));
       return false;  // the core retries, but not at the same time
     }
-    switch (store_.mode) {
-      case Store::Mode::kUp:
-        r = store_.Do(op);
+    switch (state_service_.mode) {
+      case StateServiceEmulator::Mode::kUp:
+        r = state_service_.Execute(request);
         break;
-      case Store::Mode::kRefusing:
+      case StateServiceEmulator::Mode::kRefusing:
         r.outcome = StateResponse::Outcome::kRefused;
         break;
-      case Store::Mode::kSilent:
-        store_.held.push_back(op);
+      case StateServiceEmulator::Mode::kUnresponsive:
+        state_service_.delayed_requests.push_back(request);
         r.outcome = StateResponse::Outcome::kUnknown;
         break;
-      case Store::Mode::kLosing:
-        store_.Do(op);
+      case StateServiceEmulator::Mode::kLosingResponses:
+        state_service_.Execute(request);
         r.outcome = StateResponse::Outcome::kUnknown;
         break;
     }
-    core_->OnStateResponse(now_, op.id, std::move(r));
+    core_->OnStateResponse(now_, request.id, std::move(r));
     return true;
   }
 
   // A watch without changes gets its response after its maximum wait. If watches hang, the request
   // times out a second later.
-  bool RunWatches() {
-    const bool served = store_.mode == Store::Mode::kUp && !watches_hang_;
+  bool ServeWatches() {
+    const bool served = state_service_.mode == StateServiceEmulator::Mode::kUp && !watches_hang_;
     std::vector<OpenWatch> open;
     std::swap(open, watches_);
-    bool any = false;
+    bool progressed = false;
     for (OpenWatch& w : open) {
       StateResponse r;
-      if (served) r = store_.Do(w.op);
-      const Micros until = w.sent + w.op.duration + (served ? Micros{} : Seconds(1));
+      if (served) r = state_service_.Execute(w.request);
+      const Micros until = w.sent + w.request.duration + (served ? Micros{} : Seconds(1));
       if (r.entries.empty() && now_ < until) {
         watches_.push_back(w);
       } else {
-        any = true;
-        core_->OnStateResponse(now_, w.op.id, std::move(r));
+        progressed = true;
+        core_->OnStateResponse(now_, w.request.id, std::move(r));
       }
     }
-    return any;
+    return progressed;
   }
 
-  void RunCloud(const CloudRequest& op) {
+  void ServeCloudRequest(const CloudRequest& request) {
     CloudResponse r;
     r.outcome = cloud_up_ ? CloudResponse::Outcome::kOk : CloudResponse::Outcome::kThrottled;
-    if (op.kind == CloudRequest::Kind::kScaleOut) {
-      seen_.push_back("rent " + std::to_string(op.count) + " " + op.type +
-                      (op.spot ? " spot" : ""));
-      if (names_.count(op.request_name))
-        throw Stop{"two scale-out requests have the same name: " + op.request_name};
-      if (cloud_up_ && !rents_) r.outcome = CloudResponse::Outcome::kNoCapacity;
-      for (int i = 0; rents_ && i < op.count; ++i) {
-        r.created.push_back("n-9" + std::to_string(++rented_));
+    if (request.kind == CloudRequest::Kind::kScaleOut) {
+      seen_effects_.push_back("rent " + std::to_string(request.count) + " " + request.type +
+                              (request.spot ? " spot" : ""));
+      if (scale_out_names_.count(request.request_name))
+        throw TraceFailure{"two scale-out requests have the same name: " + request.request_name};
+      if (cloud_up_ && !cloud_has_capacity_) r.outcome = CloudResponse::Outcome::kNoCapacity;
+      for (int i = 0; cloud_has_capacity_ && i < request.count; ++i) {
+        r.created.push_back("n-9" + std::to_string(++created_instances_));
       }
-      if (rents_ && cloud_up_ && !cloud_silent_) names_.insert(op.request_name);
+      if (cloud_has_capacity_ && cloud_up_ && !cloud_unresponsive_)
+        scale_out_names_.insert(request.request_name);
     }
-    if (op.kind == CloudRequest::Kind::kScaleIn) {
-      for (const std::string& m : op.machines) seen_.push_back("return " + m);
+    if (request.kind == CloudRequest::Kind::kScaleIn) {
+      for (const std::string& m : request.machines) seen_effects_.push_back("return " + m);
     }
-    if (cloud_up_ && op.kind == CloudRequest::Kind::kListMachineTypes) r.types = types_;
-    if (cloud_up_ && op.kind == CloudRequest::Kind::kListInstances) r.instances = listed_;
-    if (cloud_silent_) r.outcome = CloudResponse::Outcome::kUnknown;
-    core_->OnCloudResponse(now_, op.id, std::move(r));
+    if (cloud_up_ && request.kind == CloudRequest::Kind::kListMachineTypes) r.types = types_;
+    if (cloud_up_ && request.kind == CloudRequest::Kind::kListInstances)
+      r.instances = listed_instances_;
+    if (cloud_unresponsive_) r.outcome = CloudResponse::Outcome::kUnknown;
+    core_->OnCloudResponse(now_, request.id, std::move(r));
   }
 
-  void SubmitJob(const Words& w) {
+  void SubmitJob(const StepWords& w) {
     Submission s;
     JobSpec spec;
     spec.id = s.id = w.At(1);
@@ -453,11 +457,12 @@
     if (!w.Text("zone").empty()) spec.zone = w.Text("zone");
     spec.submitted_ms = 1000000 + now_.ToMillis();
     if (!w.Has("malformed")) s.spec = spec;
-    core_->OnSubmit(now_, ++token_, s);
-    Pump();
+    core_->OnSubmit(now_, ++last_request_id_, s);
+    CarryOutEffects();
   }
 
-  Heartbeat ReadReport(const Words& w, const std::string& machine, const std::string& tail) {
+  Heartbeat ParseHeartbeat(const StepWords& w, const std::string& machine,
+                           const std::string& tail) {
     Heartbeat r;
     r.machine = machine;
     r.endpoint = "e:" + machine;
@@ -470,13 +475,13 @@
     sequence_[machine] = std::max(sequence_[machine], r.sequence);
     r.fencing_token = static_cast<uint64_t>(w.Number("baton", 1));
     if (w.named.count("notice")) r.preemption_notice = Seconds(w.Number("notice", 0));
-    static const std::map<std::string, TaskPhase> kStates = {
+    static const std::map<std::string, TaskPhase> kTaskPhases = {
         {"fetching", TaskPhase::kFetchingImage},
         {"gathering", TaskPhase::kWaitingForGang},
         {"running", TaskPhase::kRunning},
         {"flushing", TaskPhase::kCheckpointing},
         {"exited", TaskPhase::kExited}};
-    static const std::map<std::string, ExitReason> kCauses = {
+    static const std::map<std::string, ExitReason> kExitReasons = {
         {"done", ExitReason::kDone},
         {"halted", ExitReason::kStopped},
         {"peers", ExitReason::kGangMemberLost},
@@ -486,123 +491,127 @@
         {"busy", ExitReason::kDuplicateTask},
         {"unknown", ExitReason::kUnknownTask}};
     for (const std::string& item : Split(tail, ';')) {
-      const Words t(item);
+      const StepWords t(item);
       const std::string name = t.At(0);
       const size_t slash = name.find('/'), at = name.find('@');
       TaskStatus task;
       task.ref = {name.substr(0, slash), std::stoi(name.substr(slash + 1, at - slash - 1))};
-      task.attempt = ReadAttempt(name.substr(at + 1));
-      task.phase = kStates.at(t.At(1));
-      if (task.phase == TaskPhase::kExited) task.exit_reason = kCauses.at(t.At(2));
+      task.attempt = ParseAttempt(name.substr(at + 1));
+      task.phase = kTaskPhases.at(t.At(1));
+      if (task.phase == TaskPhase::kExited) task.exit_reason = kExitReasons.at(t.At(2));
       r.tasks.push_back(task);
     }
     return r;
   }
 
-  void SendReport(const Words& w, const std::string& tail) {
-    last_checkin_ = "no answer yet";
-    checkin_token_ = ++token_;
-    core_->OnHeartbeat(now_, checkin_token_, ReadReport(w, w.At(1), tail));
-    Pump();
+  void SendHeartbeat(const StepWords& w, const std::string& tail) {
+    last_heartbeat_response_ = "no answer yet";
+    heartbeat_request_id_ = ++last_request_id_;
+    core_->OnHeartbeat(now_, heartbeat_request_id_, ParseHeartbeat(w, w.At(1), tail));
+    CarryOutEffects();
   }
 
-  void AnswerDirect(const Words& w, const std::string& tail) {
-    auto& waiting = direct_[w.At(1)];
-    if (waiting.empty()) throw Stop{"no direct call to " + w.At(1) + " is waiting for a response"};
-    const CommandRequest op = waiting.front();
+  void RespondToCommand(const StepWords& w, const std::string& tail) {
+    auto& waiting = open_commands_[w.At(1)];
+    if (waiting.empty())
+      throw TraceFailure{"no direct call to " + w.At(1) + " is waiting for a response"};
+    const CommandRequest request = waiting.front();
     waiting.pop_front();
     CommandResponse r;
     r.status = std::stoi(w.At(2));
-    if (r.status != 0) r.heartbeat = ReadReport(w, w.At(1), tail);
-    core_->OnCommandResponse(now_, op.id, std::move(r));
-    Pump();
+    if (r.status != 0) r.heartbeat = ParseHeartbeat(w, w.At(1), tail);
+    core_->OnCommandResponse(now_, request.id, std::move(r));
+    CarryOutEffects();
   }
 
-  void SetState(const std::string& mode) {
+  void SetStateServiceMode(const std::string& mode) {
     if (mode == "up")
-      store_.mode = Store::Mode::kUp;
+      state_service_.mode = StateServiceEmulator::Mode::kUp;
     else if (mode == "refuses")
-      store_.mode = Store::Mode::kRefusing;
+      state_service_.mode = StateServiceEmulator::Mode::kRefusing;
     else if (mode == "silent")
-      store_.mode = Store::Mode::kSilent;
+      state_service_.mode = StateServiceEmulator::Mode::kUnresponsive;
     else if (mode == "watches-hang" || mode == "watches-answer")
       watches_hang_ = mode == "watches-hang";
     else if (mode == "lists-hang" || mode == "lists-answer")
       lists_hang_ = mode == "lists-hang";
     else if (mode == "loses-answers")
-      store_.mode = Store::Mode::kLosing;
+      state_service_.mode = StateServiceEmulator::Mode::kLosingResponses;
     else if (mode == "delivers-late") {
-      std::vector<StateRequest> held;
-      std::swap(held, store_.held);
-      for (const StateRequest& op : held) store_.Do(op);
+      std::vector<StateRequest> delayed_requests;
+      std::swap(delayed_requests, state_service_.delayed_requests);
+      for (const StateRequest& request : delayed_requests) state_service_.Execute(request);
     } else
-      throw Stop{"unknown mode of the state service"};
-    Pump();
+      throw TraceFailure{"unknown mode of the state service"};
+    CarryOutEffects();
   }
 
-  void CheckStore(const Words& w) {
-    auto it = store_.items.find(w.At(2));
-    bool there = it != store_.items.end();
+  void CheckStateService(const StepWords& w) {
+    auto it = state_service_.items.find(w.At(2));
+    bool exists = it != state_service_.items.end();
     if (w.At(2).compare(0, keys::kFleet.size(), keys::kFleet) == 0) {
       // A page holds the records of many machines.
-      there = false;
-      for (it = store_.items.begin(); it != store_.items.end() && !there;) {
+      exists = false;
+      for (it = state_service_.items.begin(); it != state_service_.items.end() && !exists;) {
         if (const auto* page = std::get_if<FleetPage>(&it->second.value)) {
-          for (const MachineRecord& m : page->machines) there |= keys::kFleet + m.id == w.At(2);
+          for (const MachineRecord& m : page->machines) exists |= keys::kFleet + m.id == w.At(2);
         }
-        if (!there) ++it;
+        if (!exists) ++it;
       }
     }
     if (w.At(1) == "lacks") {
-      if (there) throw Stop{"the key exists"};
+      if (exists) throw TraceFailure{"the key exists"};
       return;
     }
-    if (!there) throw Stop{"the key does not exist"};
+    if (!exists) throw TraceFailure{"the key does not exist"};
     if (const auto* end = std::get_if<JobEndRecord>(&it->second.value)) {
-      const std::string is = end->cancelled ? "withdrawn" : "done";
-      if (!w.At(3).empty() && w.At(3) != is) throw Stop{"the job's end record says " + is};
+      const std::string recorded = end->cancelled ? "withdrawn" : "done";
+      if (!w.At(3).empty() && w.At(3) != recorded)
+        throw TraceFailure{"the job's end record says " + recorded};
     }
   }
 
-  void Elsewhere(const Words& w) {
-    ++store_.epoch;
+  void ApplyExternalEvent(const StepWords& w) {
+    ++state_service_.revision;
     if (w.At(1) == "withdraw") {
-      store_.Put(keys::kJobEnd + w.At(2), JobEndRecord{true, 0});
-      store_.Erase(keys::kJob + w.At(2));
+      state_service_.Put(keys::kJobEnd + w.At(2), JobEndRecord{true, 0});
+      state_service_.Erase(keys::kJob + w.At(2));
     } else if (w.At(1) == "leads") {
       const uint64_t term = static_cast<uint64_t>(w.Number("term", 2));
-      store_.Put(keys::kLeader, LeaderRecord{w.At(2), term}, 1);
-      store_.Put(keys::kTerm, TermRecord{term, w.At(2)});
+      state_service_.Put(keys::kLeader, LeaderRecord{w.At(2), term}, 1);
+      state_service_.Put(keys::kTerm, TermRecord{term, w.At(2)});
     } else if (w.At(1) == "dies") {
-      store_.Erase(keys::kLeader);
+      state_service_.Erase(keys::kLeader);
     } else if (w.At(1) == "ends-our-lease") {
-      for (uint64_t l : std::set<uint64_t>(store_.live_leases)) store_.EndLease(l);
+      for (uint64_t l : std::set<uint64_t>(state_service_.live_leases))
+        state_service_.RemoveLease(l);
     } else if (w.At(1) == "records") {
-      store_.Put(keys::kFleet + w.At(2),
-                 FleetPage{{MachineRecord{w.At(2), "e:" + w.At(2), w.Has("big") ? "big" : "box",
-                                          w.Text("zone", "a"), w.Has("spot")}}});
+      state_service_.Put(
+          keys::kFleet + w.At(2),
+          FleetPage{{MachineRecord{w.At(2), "e:" + w.At(2), w.Has("big") ? "big" : "box",
+                                   w.Text("zone", "a"), w.Has("spot")}}});
     } else {
-      throw Stop{"unknown event"};
+      throw TraceFailure{"unknown event"};
     }
-    Pump();
+    CarryOutEffects();
   }
 
-  void SetCloud(const Words& w, const std::string& tail) {
-    const std::string what = w.At(1);
-    if (what == "down")
+  void SetCloudMode(const StepWords& w, const std::string& tail) {
+    const std::string mode = w.At(1);
+    if (mode == "down")
       cloud_up_ = false;
-    else if (what == "up")
-      cloud_up_ = true, cloud_silent_ = false;
-    else if (what == "silent")
-      cloud_silent_ = true;
-    else if (what == "rents")
-      rents_ = true;
-    else if (what == "full")
-      rents_ = false;
-    else if (what == "lists") {
-      listed_.clear();
+    else if (mode == "up")
+      cloud_up_ = true, cloud_unresponsive_ = false;
+    else if (mode == "silent")
+      cloud_unresponsive_ = true;
+    else if (mode == "rents")
+      cloud_has_capacity_ = true;
+    else if (mode == "full")
+      cloud_has_capacity_ = false;
+    else if (mode == "lists") {
+      listed_instances_.clear();
       for (const std::string& item : Split(tail, ';')) {
-        const Words m(item);
+        const StepWords m(item);
         CloudInstance l;
         l.id = m.At(0);
         l.endpoint = "e:" + l.id;
@@ -613,30 +622,30 @@
                   : m.Has("failed") ? CloudInstance::Phase::kFailed
                                     : CloudInstance::Phase::kStarting;
         l.age = Seconds(m.Number("age", 0));
-        listed_.push_back(l);
+        listed_instances_.push_back(l);
       }
     } else
-      throw Stop{"unknown mode of the cloud"};
-    Pump();
+      throw TraceFailure{"unknown mode of the cloud"};
+    CarryOutEffects();
   }
 
-  static void Expect(const std::string& expected, const std::string& got) {
-    if (expected != got) throw Stop{"got: " + got};
+  static void ExpectEqual(const std::string& expected, const std::string& got) {
+    if (expected != got) throw TraceFailure{"got: " + got};
   }
-  void Sees(const std::string& expected) {
-    for (auto it = seen_.begin(); it != seen_.end(); ++it) {
+  void ExpectSeen(const std::string& expected) {
+    for (auto it = seen_effects_.begin(); it != seen_effects_.end(); ++it) {
       if (*it == expected) {
-        seen_.erase(it);
+        seen_effects_.erase(it);
         return;
       }
     }
     std::string all;
-    for (const std::string& s : seen_) all += "\n    " + s;
-    throw Stop{"not seen; seen were:" + all};
+    for (const std::string& s : seen_effects_) all += "\n    " + s;
+    throw TraceFailure{"not seen; seen were:" + all};
   }
-  void Unseen(const std::string& start) {
-    for (const std::string& s : seen_) {
-      if (s.compare(0, start.size(), start) == 0) throw Stop{"was seen: " + s};
+  void ExpectNotSeen(const std::string& start) {
+    for (const std::string& s : seen_effects_) {
+      if (s.compare(0, start.size(), start) == 0) throw TraceFailure{"was seen: " + s};
     }
   }
 
@@ -644,25 +653,25 @@
   Options options_;
   std::unique_ptr<Controller> core_;
   Micros now_ = Seconds(100);
-  Store store_;
+  StateServiceEmulator state_service_;
   struct OpenWatch {
-    StateRequest op;
+    StateRequest request;
     Micros sent;
   };
   std::vector<OpenWatch> watches_;
   bool watches_hang_ = false, lists_hang_ = false;
-  std::map<std::string, std::deque<CommandRequest>> direct_;
-  std::vector<std::string> seen_;
-  std::vector<std::string> logs_;
-  std::map<std::string, std::string> last_reports_;
-  std::set<std::string> names_;
+  std::map<std::string, std::deque<CommandRequest>> open_commands_;
+  std::vector<std::string> seen_effects_;
+  std::vector<std::string> logged_lines_;
+  std::map<std::string, std::string> last_heartbeat_steps_;
+  std::set<std::string> scale_out_names_;
   std::vector<MachineType> types_;
-  std::vector<CloudInstance> listed_;
-  bool cloud_up_ = true, cloud_silent_ = false, rents_ = false;
-  int rented_ = 0;
-  RequestId token_ = 0, checkin_token_ = 0;
+  std::vector<CloudInstance> listed_instances_;
+  bool cloud_up_ = true, cloud_unresponsive_ = false, cloud_has_capacity_ = false;
+  int created_instances_ = 0;
+  RequestId last_request_id_ = 0, heartbeat_request_id_ = 0;
   std::map<std::string, uint64_t> sequence_;
-  std::string last_checkin_, last_answer_;
+  std::string last_heartbeat_response_, last_api_response_;
 };
 
 int Run(const char* file) {
@@ -671,7 +680,7 @@
     std::cerr << file << ": can't read the file\n";
     return 2;
   }
-  Player player;
+  TraceRunner runner;
   std::string line;
   int number = 0, steps = 0;
   while (std::getline(in, line)) {
@@ -683,9 +692,9 @@
     line = line.substr(a, line.find_last_not_of(' ') - a + 1);
     ++steps;
     try {
-      player.Line(line);
-    } catch (const Stop& stop) {
-      std::cerr << file << ":" << number << ": " << line << "\n  " << stop.what << "\n";
+      runner.RunStep(line);
+    } catch (const TraceFailure& failure) {
+      std::cerr << file << ":" << number << ": " << line << "\n  " << failure.message << "\n";
       return 1;
     } catch (const std::exception& e) {
       std::cerr << file << ":" << number << ": " << line << "\n  malformed step: " << e.what()
