--- a/src/core/api/job_api.cpp
+++ b/src/core/api/job_api.cpp
@@ -59,7 +59,7 @@
          status.done, status.running);
 }
 
-void JobApi::ReadJob(RequestId request_id, const std::string& id, int missing_status,
+void JobApi::ReadJob(RequestId request_id, const std::string& id, int unknown_job_status,
                      const std::string& reason, const OnLiveJob& on_live) {
   if (AnswerEnded(request_id, id)) return;
   outbox_->SendState(GetRequest(keys::kJob + id), [=, this](Micros now, StateResponse& job) {
@@ -68,15 +68,15 @@
       return Reject(request_id, 503, id, "the state service can't be read");
     }
     // The end record is read second, because the transaction that writes it deletes the job record.
-    ReadEndRecord(request_id, id, missing_status, reason);
+    ReadEndRecord(request_id, id, unknown_job_status, reason);
   });
 }
 
-void JobApi::ReadEndRecord(RequestId request_id, const std::string& id, int missing_status,
+void JobApi::ReadEndRecord(RequestId request_id, const std::string& id, int unknown_job_status,
                            const std::string& reason) {
   outbox_->SendState(GetRequest(keys::kJobEnd + id), [=, this](Micros, StateResponse& response) {
     if (response.outcome == StateResponse::Outcome::kNotFound) {
-      return Reject(request_id, missing_status, id, reason);
+      return Reject(request_id, unknown_job_status, id, reason);
     }
     const JobEndRecord* end = EndRecordIn(response);
     if (!end) return Reject(request_id, 503, id, "the state service can't be read");
--- a/src/core/api/job_api.h
+++ b/src/core/api/job_api.h
@@ -44,10 +44,10 @@
   using OnLiveJob = std::function<void(Micros, const StateResponse& job)>;
 
   // Reads the job and calls `on_live` if it has not ended. Otherwise responds with the job's end,
-  // with `missing_status` and `reason` if the job is unknown, or with 503 if the read fails.
-  void ReadJob(RequestId request_id, const std::string& id, int missing_status,
+  // with `unknown_job_status` and `reason` if the job is unknown, or with 503 if the read fails.
+  void ReadJob(RequestId request_id, const std::string& id, int unknown_job_status,
                const std::string& reason, const OnLiveJob& on_live);
-  void ReadEndRecord(RequestId request_id, const std::string& id, int missing_status,
+  void ReadEndRecord(RequestId request_id, const std::string& id, int unknown_job_status,
                      const std::string& reason);
   void RecordSubmission(RequestId request_id, const std::string& id, const JobSpec& spec,
                         const OnLiveJob& on_live);
