--- a/src/core/election/election.h
+++ b/src/core/election/election.h
@@ -35,8 +35,8 @@
   // No effect on a follower.
   void StepDown(Micros now, const std::string& reason, Micros pause = Millis(500));
 
-  // Deletes the leader key and names `successor` in one transaction. From this call on MayStart is
-  // false and this member is never a candidate again. Call it repeatedly until `handed_over` is
+  // Deletes the leader key and names `successor` in one transaction. From this call on this member
+  // starts nothing new and is never a candidate again. Call it repeatedly until `handed_over` is
   // true or the lease has expired.
   void HandOver(Micros now, const std::string& successor);
   bool handed_over() const { return handover_requested_ && role_ == Role::kFollower; }
