--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -223,8 +223,7 @@
   // Terms come from the state service and only increase. A peer with a higher term shows that this
   // term has ended, even if the state service refuses this controller's requests.
   if (leader_ && status.term > election_->term()) {
-    election_->StepDown(now,
-                        "peer " + status.from + " reports term " + std::to_string(status.term));
+    election_->StepDown(now, status.from + " reports term " + std::to_string(status.term));
     previous_leader_.reset();
   }
   if (leader_) {
--- a/tests/trace_runner.cpp
+++ b/tests/trace_runner.cpp
@@ -513,8 +513,7 @@
 
   void RespondToCommand(const StepWords& w, const std::string& tail) {
     auto& waiting = open_commands_[w.At(1)];
-    if (waiting.empty())
-      throw TraceFailure{"no direct call to " + w.At(1) + " is waiting for a response"};
+    if (waiting.empty()) throw TraceFailure{"no direct call waits for a response from " + w.At(1)};
     const CommandRequest request = waiting.front();
     waiting.pop_front();
     CommandResponse r;
