--- a/src/core/controller/controller.cpp
+++ b/src/core/controller/controller.cpp
@@ -4,9 +4,12 @@
 namespace {
 
 constexpr Micros kStatusInterval = Millis(500);
+// How long a handover waits for writes in flight.
 constexpr Micros kHandoverWait = Millis(250);
-constexpr Micros kStepDownPause = Seconds(15);  // before standing again after yielding
-constexpr Micros kHealthyFor = Seconds(3);      // after the state service's last answer
+// A leader that stepped down for a peer with heartbeats is not a candidate again for this long.
+constexpr Micros kStepDownPause = Seconds(15);
+// How long after the state service's last response this controller still counts as healthy.
+constexpr Micros kHealthyFor = Seconds(3);
 
 }  // namespace
 
@@ -62,12 +65,12 @@
   context.types_known = [this] { return machine_types_.complete(); };
   leader_ = std::make_unique<Leader>(std::move(context), now, time_of_day_ms_);
   leader_->Tick(now);
-  status_at_ = now;  // peers learn of the new leader at once
+  next_status_at_ = now;  // peers learn of the new leader at once
 }
 
 void Controller::OnLeadershipLost() {
-  ended_leader_ = std::move(leader_);
-  ended_leader_->RejectPending();
+  previous_leader_ = std::move(leader_);
+  previous_leader_->RejectPending();
 }
 
 void Controller::BeginHandover(Micros now) {
@@ -76,8 +79,8 @@
     outbox_.Info("shutting down: handing leadership over to " + peers_.PreferredSuccessor(now));
     peers_.Leave(now);
   }
-  // Writes in flight finish first, or the successor would find them undone; nothing starts
-  // meanwhile.
+  // Waits for writes in flight, or the successor would not find their results. No tasks are started
+  // in the meantime.
   if (leader_ && leader_->recording() && now < handover_deadline_) return;
   election_->HandOver(now, peers_.PreferredSuccessor(now));
 }
@@ -85,18 +88,18 @@
 bool Controller::IsHealthy(Micros now) const {
   if (shutting_down_) return false;
   if (!election_->synced()) return false;
-  if (connectivity_.StateServiceAnsweredWithin(now, kHealthyFor)) return true;
-  // Users are better off elsewhere only where a peer does reach the state service.
+  if (connectivity_.StateServiceRespondedWithin(now, kHealthyFor)) return true;
+  // Without the state service, users should be sent elsewhere only if a peer reaches it.
   return !peers_.StateServiceReachableFromPeer(now);
 }
 
-// A leader without heartbeats can start nothing, and would in the end release all its machines,
-// while their workers report to a peer that redirects them here. With no such peer it stays: then
-// the fault may be the workers'.
+// A leader that receives no heartbeats can't start tasks and would eventually release all machines,
+// while their agents report to a peer that redirects them to this controller. If no peer receives
+// heartbeats either, the leader stays, since the fault may be on the agents' side.
 void Controller::StepDownForPeerWithHeartbeats(Micros now) {
   const std::string peer = peers_.PeerReceivingHeartbeats(now);
   if (peer.empty()) return;
-  election_->StepDown(now, "no heartbeats arrive here, but " + peer + " receives them",
+  election_->StepDown(now, "no heartbeats received, but peer " + peer + " receives them",
                       kStepDownPause);
 }
 
@@ -111,8 +114,8 @@
 }
 
 void Controller::SendStatus(Micros now) {
-  if (now < status_at_) return;
-  status_at_ = now + kStatusInterval;
+  if (now < next_status_at_) return;
+  next_status_at_ = now + kStatusInterval;
   PeerStatus status = OwnStatus(now);
   if (leader_) status.job_statuses = leader_->Statuses();
   outbox_.effects.peer_statuses.push_back(std::move(status));
@@ -142,36 +145,36 @@
   connectivity_.Tick(now);
   SendStatus(now);
   if (shutting_down_) BeginHandover(now);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnStateResponse(Micros now, RequestId id, StateResponse response) {
   connectivity_.OnStateResponse(now, response);
   outbox_.Deliver(now, id, response);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnCloudResponse(Micros now, RequestId id, CloudResponse response) {
   outbox_.Deliver(now, id, response);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnCommandResponse(Micros now, RequestId id, CommandResponse response) {
   if (response.heartbeat) election_->NoteFencingToken(response.heartbeat->fencing_token);
   outbox_.Deliver(now, id, response);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 bool Controller::AnswerAsLeader(Micros now, RequestId request_id, const Heartbeat& heartbeat,
                                 HeartbeatResponse* answer) {
-  const auto verdict = leader_->HandleHeartbeat(now, request_id, heartbeat, &answer->commands);
-  if (verdict != Leader::HeartbeatOutcome::kSuperseded) connectivity_.OnHeartbeat(now);
-  if (verdict == Leader::HeartbeatOutcome::kAnswerLater) return true;
-  if (verdict == Leader::HeartbeatOutcome::kAnswer) {
+  const auto outcome = leader_->HandleHeartbeat(now, request_id, heartbeat, &answer->commands);
+  if (outcome != Leader::HeartbeatOutcome::kSuperseded) connectivity_.OnHeartbeat(now);
+  if (outcome == Leader::HeartbeatOutcome::kAnswerLater) return true;
+  if (outcome == Leader::HeartbeatOutcome::kAnswer) {
     answer->status = 200;
     answer->fencing_token = election_->term();
     answer->valid_until = leader_->ValidUntil(answer->commands);
-  } else if (verdict != Leader::HeartbeatOutcome::kSuperseded) {
+  } else if (outcome != Leader::HeartbeatOutcome::kSuperseded) {
     return false;
   }
   outbox_.effects.heartbeat_responses.push_back(std::move(*answer));
@@ -183,14 +186,14 @@
   HeartbeatResponse answer;
   answer.request_id = request_id;
   if (leader_ && heartbeat.fencing_token > election_->term()) {
-    election_->StepDown(now, "a worker has seen a higher fencing token");
+    election_->StepDown(now, "an agent has seen a higher fencing token");
   }
   if (leader_ && AnswerAsLeader(now, request_id, heartbeat, &answer)) return;
   if (!leader_) connectivity_.OnHeartbeat(now);
   answer.leader = peers_.LeaderName(now, election_->seen_term(), election_->leader());
   answer.status = answer.leader.empty() ? 503 : 421;
   outbox_.effects.heartbeat_responses.push_back(std::move(answer));
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnSubmit(Micros now, RequestId request_id, Submission submission) {
@@ -205,10 +208,11 @@
   job_api_->Cancel(request_id, job);
 }
 
-// Only a leader takes part in quota transfers. Messages are repeated, so one may be dropped.
+// Only a leader takes part in quota transfers. Senders repeat their messages, so a message that
+// arrives too early may be dropped.
 void Controller::OnCellMessage(Micros now, const limits::CellMessage& message) {
   if (leader_ && leader_->ready()) leader_->OnCell(now, message);
-  ended_leader_.reset();
+  previous_leader_.reset();
 }
 
 void Controller::OnMembershipMessage(Micros now, const membership::Message& message) {
@@ -216,11 +220,11 @@
 }
 
 void Controller::OnPeerStatus(Micros now, const PeerStatus& status) {
-  // Terms are read from the state service and only grow: this one is over, though this controller
-  // may be the one that the state service refuses.
+  // Terms come from the state service and only increase. A peer with a higher term shows that this
+  // term has ended, even if the state service refuses this controller's requests.
   if (leader_ && status.term > election_->term()) {
-    election_->StepDown(now, status.from + " knows of term " + std::to_string(status.term));
-    ended_leader_.reset();
+    election_->StepDown(now, status.from + " reports term " + std::to_string(status.term));
+    previous_leader_.reset();
   }
   if (leader_) {
     for (const std::string& job : status.cancelling) leader_->MarkCancelPending(now, job);
--- a/src/core/election/election.cpp
+++ b/src/core/election/election.cpp
@@ -3,29 +3,34 @@
 namespace badgershore {
 namespace {
 
-constexpr Micros kPositionDelay = Millis(120);   // between the candidates' first attempts
-constexpr Micros kSuccessorDelay = Millis(600);  // others wait so long for a named successor
-constexpr Micros kRetryDelay = Millis(400);      // after an attempt, and by position:
+// Stagger between the first attempts of candidates at successive election positions.
+constexpr Micros kPositionDelay = Millis(120);
+// Additional delay of all other candidates when the previous leader named a successor.
+constexpr Micros kSuccessorDelay = Millis(600);
+// Delay before the next attempt, plus the second one for each election position.
+constexpr Micros kRetryDelay = Millis(400);
 constexpr Micros kRetryPositionDelay = Millis(150);
 constexpr Micros kRenewRetryDelay = Millis(150);
-constexpr double kRenewAfter = 0.2;          // of the lease
-constexpr Micros kLeaseMargin = Millis(50);  // for what is under way when the lease expires
+// Share of the lease duration after which the lease is renewed.
+constexpr double kRenewLeaseShare = 0.2;
+// Leaves time for messages that are in flight when the lease expires.
+constexpr Micros kLeaseMargin = Millis(50);
 
 }  // namespace
 
-Election::Election(Outbox* outbox, std::string member, int position, Micros lease,
+Election::Election(Outbox* outbox, std::string member, int position, Micros lease_duration,
                    Callbacks callbacks)
     : outbox_(outbox),
       member_(std::move(member)),
       position_(position),
-      lease_(lease),
+      lease_duration_(lease_duration),
       callbacks_(std::move(callbacks)),
       control_cache_(
           outbox, keys::kControl,
           [this](Micros now, const Entry& entry) { OnControlEntry(now, entry); }, [](Micros) {}) {}
 
-Micros Election::UsableLease(Micros sent) const {
-  return sent + lease_.Scaled(1 - kClockDrift) - kLeaseMargin;
+Micros Election::LeaseValidUntil(Micros sent) const {
+  return sent + lease_duration_.Scaled(1 - kClockDrift) - kLeaseMargin;
 }
 
 void Election::OnControlEntry(Micros now, const Entry& entry) {
@@ -41,23 +46,24 @@
 }
 
 void Election::OnLeaderEntry(Micros now, const Entry& entry) {
-  // The watch may still deliver versions from before our own election.
+  // The watch may still deliver versions that are older than this member's own election.
   if (entry.version < last_leader_version_) return;
   last_leader_version_ = entry.version;
-  // Deleted, or another's: our term is over, whatever our clock says.
+  // The key was deleted or another member wrote it: this term has ended, even if the lease has not
+  // expired by the local clock.
   if (leads() && entry.version > term_version_) StepDown(now, "the leader key has changed");
   leader_version_ = entry.deleted ? 0 : entry.version;
   leader_.clear();
   const auto* record = std::get_if<LeaderRecord>(&entry.value);
   if (record && !entry.deleted) leader_ = record->leader;
-  // In the first list, our own name is our previous run's. That run is over, since this process has
-  // its address: its lease need not be waited out.
+  // If the first list names this member, its previous process wrote the key. That process has
+  // ended, since this one is bound to the same address, so its lease need not expire first.
   if (!control_cache_.synced() && !leads() && leader_ == member_) {
-    previous_run_version_ = entry.version;
+    previous_process_version_ = entry.version;
     leader_.clear();
   }
   if (entry.deleted) {
-    vacated_version_ = entry.version;
+    leader_deleted_version_ = entry.version;
     ScheduleCandidacy(now);
   }
 }
@@ -76,11 +82,11 @@
   seen_term_version_ = entry.version;
 }
 
-// A successor named in the transaction that vacated the key stands at once and the others wait for
-// it; without one they stand by position.
+// If the transaction that deleted the leader key named a successor, that member becomes a candidate
+// at once and the others wait for it. Otherwise candidates are staggered by election position.
 void Election::ScheduleCandidacy(Micros now) {
   const Micros by_position = now + kPositionDelay.Scaled(position_);
-  if (successor_version_ == 0 || successor_version_ != vacated_version_) {
+  if (successor_version_ == 0 || successor_version_ != leader_deleted_version_) {
     candidacy_at_ = std::max(candidacy_at_, by_position);
   } else if (successor_ == member_) {
     candidacy_at_ = now;
@@ -101,15 +107,16 @@
   outbox_->SendState(commit, [this, successor](Micros now, StateResponse& response) {
     handover_in_flight_ = false;
     if (!leads() || response.outcome == StateResponse::Outcome::kRefused) return;
-    // Without an answer the lease is revoked, which vacates the key but may name nobody.
-    StepDown(now, "handing over to " + (successor.empty() ? "whoever stands first" : successor));
+    // If the outcome is unknown, StepDown still revokes the lease, which deletes the leader key;
+    // the successor record may then be missing.
+    StepDown(now, "handing over to " + (successor.empty() ? "the first candidate" : successor));
   });
 }
 
 void Election::Tick(Micros now) {
   control_cache_.Tick(now);
-  if (role_ == Role::kFollower && !handover_requested_ && control_cache_.synced() && Vacant() &&
-      now >= candidacy_at_) {
+  if (role_ == Role::kFollower && !handover_requested_ && control_cache_.synced() &&
+      IsLeaderKeyVacant() && now >= candidacy_at_) {
     StartCandidacy(now);
   }
   if (leads() && !renewing_ && now >= renew_at_) Renew(now);
@@ -120,7 +127,7 @@
   candidacy_at_ = now + kRetryDelay + kRetryPositionDelay.Scaled(position_);
   StateRequest grant;
   grant.kind = StateRequest::Kind::kGrantLease;
-  grant.duration = lease_;
+  grant.duration = lease_duration_;
   outbox_->SendState(grant, [this, sent = now](Micros, StateResponse& response) {
     if (!response.ok()) {
       role_ = Role::kFollower;
@@ -131,17 +138,17 @@
 }
 
 void Election::WriteTerm(Micros sent, uint64_t lease) {
-  const uint64_t term = std::max(seen_term_, seen_fencing_token_) + 1;
+  const uint64_t term = std::max(seen_term_, highest_seen_fencing_token_) + 1;
   StateRequest commit;
   commit.kind = StateRequest::Kind::kCompareAndSwap;
-  commit.preconditions = {{keys::kLeader, Vacant() ? leader_version_ : 0},
+  commit.preconditions = {{keys::kLeader, IsLeaderKeyVacant() ? leader_version_ : 0},
                           {keys::kTerm, seen_term_version_}};
   commit.mutations = {{keys::kLeader, false, LeaderRecord{member_, term}, lease},
                       {keys::kTerm, false, TermRecord{term, member_}, 0}};
   outbox_->SendState(commit, [this, sent, lease, term](Micros now, StateResponse& response) {
     if (!response.ok()) {
-      // Without an answer the key may be ours or yet become ours: revoke the lease, so that a late
-      // commit can't hold the key for nobody.
+      // If the outcome is unknown, the commit may have succeeded or may succeed later. Revoking the
+      // lease keeps a delayed commit from holding the leader key while no member leads.
       role_ = Role::kFollower;
       return RevokeLease(lease);
     }
@@ -157,7 +164,7 @@
   leader_ = member_;
   leader_version_ = last_leader_version_ = revision;
   lease_id_ = lease;
-  lease_until_ = UsableLease(sent);
+  lease_until_ = LeaseValidUntil(sent);
   confirmed_at_ = sent;
   renew_at_ = now;
   renewing_ = false;
@@ -180,9 +187,9 @@
     if (!leads() || term != term_) return;
     renewing_ = false;
     if (response.ok()) {
-      lease_until_ = UsableLease(sent);
+      lease_until_ = LeaseValidUntil(sent);
       confirmed_at_ = sent;
-      renew_at_ = sent + lease_.Scaled(kRenewAfter);
+      renew_at_ = sent + lease_duration_.Scaled(kRenewLeaseShare);
     } else if (response.outcome == StateResponse::Outcome::kNotFound) {
       StepDown(now, "lease expired");
     } else {
@@ -192,14 +199,16 @@
 }
 
 std::string Election::Fingerprint(Micros now) const {
-  const auto in = [now](Micros at) {
+  const auto relative = [now](Micros at) {
     return std::to_string(std::max(Micros{-1}, at - now).count) + ' ';
   };
   std::string out = std::to_string(static_cast<int>(role_)) + ' ' + std::to_string(term_) + ' ' +
                     std::to_string(term_version_) + ' ' + std::to_string(lease_id_) + ' ';
-  out += in(lease_until_) + in(renew_at_) + in(candidacy_at_) + leader_ + ' ' + successor_ + ' ';
-  for (const uint64_t n : {leader_version_, last_leader_version_, seen_term_, seen_term_version_,
-                           seen_fencing_token_, successor_version_, vacated_version_}) {
+  out += relative(lease_until_) + relative(renew_at_) + relative(candidacy_at_) + leader_ + ' ' +
+         successor_ + ' ';
+  for (const uint64_t n :
+       {leader_version_, last_leader_version_, seen_term_, seen_term_version_,
+        highest_seen_fencing_token_, successor_version_, leader_deleted_version_}) {
     out += std::to_string(n) + ' ';
   }
   return out + (renewing_ ? "r" : "") + (handover_requested_ ? "e" : "") +
--- a/src/core/placement/array_shortfall.cpp
+++ b/src/core/placement/array_shortfall.cpp
@@ -6,17 +6,18 @@
 namespace badgershore {
 namespace {
 
-// On machines near the lowest price, work starts at most this long after a boot.
+// Work on machines near the lowest unit price is to start at most this long after a boot.
 constexpr Micros kCheapStartDelay = Seconds(5);
 
 enum class PriceRange { kAny, kNearCheapest };
 
-struct Gap {
+struct CapacityGap {
   double required = 0;
   double deficit = 0;
 };
 
-// Work that the machines that exist can do until a due time, beside services and new arrivals.
+// Work that the existing machines can do until a due time, in addition to services and expected
+// arrivals.
 double AchievableWork(const ArrayDemand& demand, const ArrayCapacity& capacity, PriceRange range,
                       double seconds) {
   const double up = range == PriceRange::kNearCheapest ? capacity.cheap_up : capacity.up;
@@ -28,16 +29,16 @@
   return work;
 }
 
-// Seconds that a machine requested now can work until the due time: after its boot, and only in
-// whole tasks.
+// Seconds for which a machine requested now can work until the due time: after its boot, rounded
+// down to whole tasks.
 double UsefulSeconds(const DueWork& due, Micros boot) {
   const double seconds = due.remaining.ToSeconds() - boot.ToSeconds();
   const double runtime = std::max(1.0, due.estimated_runtime.ToSeconds());
   return seconds >= runtime ? std::floor(seconds / runtime) * runtime : seconds;
 }
 
-Gap MeasureGap(const ArrayDemand& demand, const ArrayCapacity& capacity, PriceRange range) {
-  Gap gap;
+CapacityGap MeasureGap(const ArrayDemand& demand, const ArrayCapacity& capacity, PriceRange range) {
+  CapacityGap gap;
   gap.required = demand.arrival_rate;
   double worst = 0;
   double work = 0;
@@ -57,7 +58,7 @@
   return gap;
 }
 
-void MoveDueTimesAhead(ArrayDemand* demand) {
+void MoveDueTimesEarlier(ArrayDemand* demand) {
   for (DueWork& due : demand->due) {
     due.remaining =
         std::min(due.remaining, demand->shortest_boot + due.estimated_runtime + kCheapStartDelay);
@@ -78,14 +79,14 @@
                                      const UrgentLoadForecast& urgent_load,
                                      const Options& options) {
   ArrayShortfall shortfall;
-  const Gap gap = MeasureGap(*demand, capacity, PriceRange::kAny);
+  const CapacityGap gap = MeasureGap(*demand, capacity, PriceRange::kAny);
   shortfall.deficit = gap.deficit;
   shortfall.required = std::min({gap.required, demand->max_parallel_cpu + demand->arrival_rate,
                                  demand->total_cpu_limit}) +
                        demand->service_cpu;
   shortfall.urgent_reserve = UrgentReserve(*demand, urgent_load, options);
-  MoveDueTimesAhead(demand);
-  const Gap cheap_gap = MeasureGap(*demand, capacity, PriceRange::kNearCheapest);
+  MoveDueTimesEarlier(demand);
+  const CapacityGap cheap_gap = MeasureGap(*demand, capacity, PriceRange::kNearCheapest);
   shortfall.cheap_deficit = std::max(gap.deficit, cheap_gap.deficit);
   shortfall.cheap_deficit =
       std::max(shortfall.cheap_deficit, shortfall.urgent_reserve - capacity.cheap_total);
