--- a/src/limits/quota_debug_string.cpp
+++ b/src/limits/quota_debug_string.cpp
@@ -1,4 +1,4 @@
-// Texts of the quota records, messages and ledgers.
+// Debug strings of quota records, cell messages and ledgers.
 #include "limits/quota_ledger.h"
 
 namespace badgershore::limits {
@@ -59,8 +59,8 @@
       limits::DebugString(records_.durable()) + '|' + limits::DebugString(records_.next());
   if (records_.in_flight()) out += "|in flight " + limits::DebugString(*records_.in_flight());
   for (const auto& [cell, peer] : peers_) {
-    out +=
-        '|' + std::string(peer.heard ? "heard " : "not heard ") + limits::DebugString(peer.message);
+    out += '|' + std::string(peer.heard ? "responded " : "no response ") +
+           limits::DebugString(peer.message);
   }
   if (!restricted_to_floor_reason_.empty()) out += "|restricted: " + restricted_to_floor_reason_;
   return out;
--- a/src/limits/quota_ledger.cpp
+++ b/src/limits/quota_ledger.cpp
@@ -56,8 +56,8 @@
   if (restricted_to_floor_reason_.empty()) restricted_to_floor_reason_ = reason;
 }
 
-// The least of what this cell's settings, its record and the other cells say: while the settings
-// differ, the lower total counts.
+// The minimum of the totals in this cell's settings, in its record and in the other cells'
+// messages. While the settings of the cells differ, the lowest total applies.
 int64_t QuotaLedger::Total(const std::string& team, ResourceKind kind) const {
   const auto k = static_cast<size_t>(kind);
   int64_t total = AmountOf(own_totals_, team, k);
@@ -91,13 +91,13 @@
   if (!loaded_) return 0;
   const int64_t total = Total(team, kind);
   if (total >= kUnlimited) return kUnlimited;
-  // Durable before it is used; no longer used once it may be transferred.
+  // Units are usable once they are durable, and no longer once their transfer was decided.
   int64_t units = records_.LeastHeld(team, kind);
   const int64_t floor = shares_.Floor();
-  // A record that an older copy of the state service may have brought back does not prove what was
-  // not transferred since. The floor never is.
+  // The record may come from an older copy of the state service, and units that it shows as held
+  // may have been transferred since. Only the floor is never transferred.
   if (!restricted_to_floor_reason_.empty() || !AllHeard()) units = std::min(units, floor);
-  // What is owed to other cells is left to them as it becomes free.
+  // Units owed to other cells are not reused here when they become free.
   int64_t owed = 0;
   for (const auto& [cell, peer] : peers_) owed += OwedTo(cell, team, kind);
   units = std::max(units - owed, std::min(units, floor));
@@ -105,7 +105,7 @@
                         shares_.settings().units, false);
 }
 
-// A raised total counts when all cells' settings say it, a lowered one at once.
+// A higher total takes effect once the settings of all cells have it, a lower one immediately.
 void QuotaLedger::AgreeOnTotals() {
   for (const auto& [team, own] : own_totals_) {
     ResourceAmounts least = own;
@@ -114,7 +114,7 @@
       if (!shares_.IsActive(cell)) continue;
       auto it = peer.message.totals.find(team);
       if (it == peer.message.totals.end()) {
-        complete = false;  // its settings do not name the team yet
+        complete = false;  // its settings do not contain the team yet
         continue;
       }
       for (size_t i = 0; i < kResourceKinds; ++i) least[i] = std::min(least[i], it->second[i]);
@@ -139,17 +139,18 @@
   if (message.nonce < account.nonce) return true;
   account.nonce = message.nonce;
   if (!restricted_to_floor_reason_.empty()) return true;
-  // The other cell's record is an old copy. It learns that from this cell's numbers, and its
-  // messages count again when it has the right one.
+  // The other cell's record is an old copy. That cell detects this from the transfer numbers that
+  // this cell sends; its messages are accepted again once it has loaded the current record.
   const TransferAccount& known = records_.durable().accounts.at(message.from);
   if (message.sent < known.received || message.received + 1 < known.sent) return true;
-  // Overtaken by a newer message.
+  // Ignore a message that a newer one has overtaken.
   if (std::tie(message.term, message.sent, message.received) <
       std::tie(peer.message.term, peer.message.sent, peer.message.received)) {
     return true;
   }
   peer.message = message;
-  // Numbers from before this load could agree with an old copy of the record.
+  // A response to an earlier load does not count: its numbers could match an old copy of the
+  // record.
   peer.heard = peer.heard || message.echoed_nonce == nonce_;
   AcknowledgeTransfer(message);
   ReceiveTransfer(message);
@@ -165,7 +166,7 @@
   if (!restricted_to_floor_reason_.empty()) return;
   AgreeOnTotals();
   AbsorbRemovedCells();
-  // This cell's numbers have to be known to be right before anything is transferred.
+  // Nothing is transferred before the other cells have confirmed this cell's transfer numbers.
   if (!AllHeard()) return;
   for (const std::string& cell : CellsByPriority()) StartTransfer(cell, now_ms_);
 }
--- a/src/limits/quota_ledger.h
+++ b/src/limits/quota_ledger.h
@@ -1,8 +1,8 @@
-// One cell's side of dividing the teams' limits and guarantees among cells (escrow, O'Neil 1986;
+// One cell's part in dividing the teams' limits and guarantees among cells (escrow, O'Neil 1986;
 // bounded counters, Balegas et al. 2015). Shares are transferred between two cells at a time. Each
 // transfer is numbered, durable at the sender before it is sent, durable at the receiver before it
-// is used, repeated until it is acknowledged, and applied once. A cell needs no permission to use
-// what it holds.
+// is used, resent until it is acknowledged, and applied once. A cell uses the units that it holds
+// without asking any other cell.
 #pragma once
 
 #include <cstdint>
@@ -18,62 +18,63 @@
 
 namespace badgershore::limits {
 
-// What a cell's own work needs of a team's quota, in thousandths of a CPU or accelerator.
+// The quota of one team that a cell's own work needs, in thousandths of a CPU or accelerator.
 struct QuotaDemand {
-  ResourceAmounts used{};        // now, or possibly
-  ResourceAmounts additional{};  // could be used beside that at once
+  ResourceAmounts used{};        // in use, including uncertain use
+  ResourceAmounts additional{};  // could be used immediately on top of that
   int64_t waiting_since_ms = 0;  // time of day
-  int priority = 3;              // 0 goes first
-  bool all_or_nothing = false;   // `additional` is a gang's that waits for the limit
+  int priority = 3;              // 0 is the highest
+  bool all_or_nothing = false;   // `additional` is for a gang that waits for the limit
 };
 
-// For logs, tests and state space exploration: equal for equal values.
+// For logs, tests and state space exploration. Equal values give equal strings.
 std::string DebugString(const QuotaRecord& record);
 std::string DebugString(const CellMessage& message);
 
-// A state machine without clock or socket. Its owner writes the record of RecordToWrite, sends
-// Messages to the other cells, and asks Usable before anything starts.
+// A state machine without clock or sockets. Its owner writes the record that RecordToWrite returns,
+// sends Messages to the other cells, and checks Usable before it starts a task.
 class QuotaLedger {
  public:
   explicit QuotaLedger(Settings settings);
 
-  // Each team's total by this cell's settings, which change with a restart only.
+  // Sets each team's total from this cell's settings, which change only at a restart.
   void SetTotals(const TeamAmounts& totals);
-  // The durable record as read after the election; none: there is none. `nonce` has to grow with
-  // every load, whatever becomes of the record: a time of day does.
+  // Loads the durable record as read after the election, or nullopt if there is none. `nonce` must
+  // be larger than at any earlier load, even if the record is lost or replaced; the time of day is.
   void Load(const std::optional<QuotaRecord>& record, uint64_t nonce);
   bool loaded() const { return loaded_; }
   void SetDemand(const std::string& team, const QuotaDemand& demand);
-  // A message of another cell's leader. False: its sender or receiver is not as the settings say.
+  // Handles a message of another cell's leader. False if its sender or receiver does not match the
+  // settings.
   bool OnMessage(const CellMessage& message, int64_t now_ms);
-  // Decides what to transfer.
+  // Decides which units to transfer.
   void Tick(int64_t now_ms);
 
-  // The record to write next, conditional on the version that was read or written last; the same
-  // until its outcome is known. None: nothing has changed.
+  // Returns the record to write next, with the version that was read or written last as the
+  // precondition. Returns the same record until its outcome is known, nullopt if nothing changed.
   std::optional<QuotaRecord> RecordToWrite();
   void OnWritten(uint64_t number) { records_.OnWritten(number); }
-  // Surely not written: the next one may differ.
+  // The record was certainly not written; the next one may differ.
   void OnNotWritten() { records_.OnNotWritten(); }
-  // One to each active cell, of durable facts only.
+  // One message to each active cell, built from durable data only.
   std::vector<CellMessage> Messages() const;
 
-  // Thousandths that may be used at once; kUnlimited where there is no limit.
+  // Thousandths that may be used now; kUnlimited if there is no limit.
   int64_t Usable(const std::string& team, ResourceKind kind) const;
-  // Why only the floor may be used; empty: it is not restricted.
+  // Why only the floor may be used; empty if the cell is not restricted.
   const std::string& restricted_to_floor_reason() const { return restricted_to_floor_reason_; }
-  // Active cells that have not answered since the record was loaded.
+  // Active cells that have not responded since the record was loaded.
   std::set<std::string> UnheardCells() const;
   const QuotaRecord& durable() const { return records_.durable(); }
-  // The whole state.
+  // The complete state of the ledger.
   std::string DebugString() const;
 
  private:
   struct Peer {
-    bool heard = false;  // in answer to this load of the record
+    bool heard = false;  // has responded since this load of the record
     CellMessage message;
   };
-  // A cell that has transferred units of a team asks for them back after a growing delay.
+  // A cell that has transferred units of a team requests them back only after a delay, which grows.
   struct ReclaimDelay {
     int64_t transferred_at_ms = 0;
     int64_t delay_ms = 0;
--- a/src/limits/quota_record_writer.h
+++ b/src/limits/quota_record_writer.h
@@ -1,4 +1,4 @@
-// The durable quota record and its next version on the way to the state service.
+// The durable quota record and the next version that is written to the state service.
 #pragma once
 
 #include <optional>
@@ -12,20 +12,21 @@
  public:
   void Load(const std::optional<QuotaRecord>& record);
 
-  // Surely recorded.
+  // The version that is known to be written.
   const QuotaRecord& durable() const { return durable_; }
-  // With all that has been decided since.
+  // The durable version with all changes made since.
   QuotaRecord& next() { return next_; }
   const QuotaRecord& next() const { return next_; }
-  // Given out to be written, the outcome not known.
+  // The version that is being written; its outcome is not known.
   const std::optional<QuotaRecord>& in_flight() const { return in_flight_; }
-  // The least held by any version that may be the recorded one.
+  // The minimum of the units held in all versions that may be the stored one.
   int64_t LeastHeld(const std::string& team, ResourceKind kind) const;
-  // Adds an empty account with the cell to the durable and the next version alike, since an empty
-  // account alone is not worth a write.
+  // Adds an empty account for the cell to both the durable and the next version, so that an empty
+  // account alone does not cause a write.
   void AddAccount(const std::string& cell);
 
-  // The version to write next, the same until its outcome is known; none: nothing has changed.
+  // Returns the version to write next, the same until its outcome is known; nullopt if nothing
+  // changed.
   std::optional<QuotaRecord> RecordToWrite();
   void OnWritten(uint64_t number);
   void OnNotWritten() { in_flight_.reset(); }
@@ -36,7 +37,7 @@
   std::optional<QuotaRecord> in_flight_;
 };
 
-// Units of a team's kind; 0 where the team is not named.
+// Units of one resource kind of a team; 0 if `amounts` does not contain the team.
 int64_t AmountOf(const TeamAmounts& amounts, const std::string& team, size_t kind);
 
 }  // namespace badgershore::limits
--- a/src/limits/quota_requests.cpp
+++ b/src/limits/quota_requests.cpp
@@ -1,4 +1,4 @@
-// QuotaLedger: what this cell and the others ask for, and who goes first.
+// QuotaLedger: the requests of this cell and of the others, and their order.
 #include <algorithm>
 #include <compare>
 
@@ -7,7 +7,7 @@
 namespace badgershore::limits {
 namespace {
 
-constexpr int kLastPriority = 9;  // below all that requests have
+constexpr int kLastPriority = 9;  // lower than the priority of any request
 
 struct RequestRank {
   int priority = kLastPriority;
@@ -45,8 +45,8 @@
   return request;
 }
 
-// A cell that has just transferred units does not ask for them back at once, except for what brings
-// it up to an equal share.
+// A cell that has just transferred units does not request them back immediately, unless it holds
+// less than an equal share.
 bool QuotaLedger::DelaysReclaim(const std::string& team, const QuotaRequest& request) const {
   const int64_t equal = shares_.EqualShare();
   for (size_t i = 0; i < kResourceKinds; ++i) {
--- a/src/limits/quota_transfers.cpp
+++ b/src/limits/quota_transfers.cpp
@@ -1,4 +1,4 @@
-// QuotaLedger: transfers between this cell and the others, and the messages that carry them.
+// QuotaLedger: transfers between this cell and the others, and the messages that contain them.
 #include <algorithm>
 #include <tuple>
 
@@ -9,7 +9,8 @@
 
 bool IsLimit(size_t kind) { return kind == kLimitCpu || kind == kLimitGpu; }
 
-// A total order over all waiting requests, so that two gangs never keep halves from each other.
+// A total order over all waiting requests, so that two gangs never deadlock with half of the quota
+// each.
 bool GoesBefore(const QuotaRequest& a, const std::string& cell_a, const QuotaRequest& b,
                 const std::string& cell_b) {
   return std::tie(a.priority, a.waiting_since_ms, cell_a) <
@@ -18,8 +19,9 @@
 
 }  // namespace
 
-// What this cell has to leave to another although its own work could use it: all that a gang there
-// waits for, if it goes before everything here; else what brings the other up to an equal share.
+// The units that this cell must leave to another cell although its own work could use them: all
+// that a gang there waits for, if it is ordered before all waiting work here; otherwise the units
+// that bring the other cell up to an equal share.
 int64_t QuotaLedger::OwedTo(const std::string& cell, const std::string& team,
                             ResourceKind kind) const {
   auto peer = peers_.find(cell);
@@ -30,12 +32,12 @@
   const int64_t held = AmountOf(records_.next().held, team, k);
   const QuotaRequest own = OwnRequest(team);
   const std::string& self = shares_.settings().self;
-  // Includes work that waits for a machine only.
+  // Includes work that waits only for a machine.
   const bool waiting = HasWaitingWork(team, k);
   if (request->all_or_nothing && (!waiting || GoesBefore(*request, cell, own, self))) {
     return std::clamp<int64_t>(request->units[k], 0, std::max<int64_t>(0, held - shares_.Floor()));
   }
-  // A gang here that goes before what waits there keeps what it has gathered.
+  // A gang here that is ordered before the request there keeps the units gathered for it.
   if (waiting && own.all_or_nothing && GoesBefore(own, self, *request, cell)) return 0;
   const int64_t equal = shares_.EqualShare();
   const int64_t theirs = AmountOf(peer->second.message.held, team, k);
@@ -54,7 +56,8 @@
   const int64_t owed = OwedTo(cell, team, kind);
   if (owed > 0) return std::min(available, owed);
   if (OwnRequest(team).units[k] > 0) return 0;
-  // Unused here, except what the demand here could grow by at once. Shared among those who ask.
+  // Units that are unused here, less those that work here could use immediately. They are divided
+  // among the cells that request them.
   auto demand = demands_.find(team);
   const int64_t growth =
       demand == demands_.end() ? 0 : ToUnits(team, kind, demand->second.additional[k]);
@@ -112,7 +115,8 @@
   if (!recent) delay.delay_ms = shares_.settings().min_reclaim_delay_ms;
 }
 
-// Units that are needed back soon after their transfer are asked back later the next time.
+// If units are needed again soon after their transfer, the next request to return them is delayed
+// for longer.
 void QuotaLedger::ExtendReclaimDelays() {
   const int64_t max_delay = shares_.settings().max_reclaim_delay_ms;
   for (auto& [team, delay] : reclaim_delays_) {
@@ -124,17 +128,18 @@
   }
 }
 
-// The other cell's numbers prove what this cell has done: a record that knows less is an old copy.
+// The other cell's numbers prove which transfers this cell has made and received. A record with
+// lower numbers is an old copy.
 void QuotaLedger::CheckTransferNumbers(const CellMessage& message) {
   const TransferAccount& account = records_.next().accounts.at(message.from);
   if (message.received > account.sent) {
     RestrictToFloor(message.from + " has received transfer " + std::to_string(message.received) +
-                    ", but the record here ends at " + std::to_string(account.sent) +
-                    ": it is older than what was sent");
+                    ", but the last one sent in the record here is " +
+                    std::to_string(account.sent) + ": the record is older than that transfer");
   } else if (message.sent > account.received + 1) {
     RestrictToFloor(message.from + " has sent transfer " + std::to_string(message.sent) +
-                    ", but the record here ends at " + std::to_string(account.received) +
-                    ": it is an old copy");
+                    ", but the last one received in the record here is " +
+                    std::to_string(account.received) + ": the record is an old copy");
   }
 }
 
--- a/src/limits/quota_types.h
+++ b/src/limits/quota_types.h
@@ -1,8 +1,8 @@
-// Quota shares: the parts of the teams' limits and guarantees that each cell may use. The durable
+// Quota shares (the parts of the teams' limits and guarantees that each cell may use), the durable
 // record of a cell, and the messages between cells.
 //
-// A share is counted in units, parts of a team's total, so that shares keep their proportion when
-// the total changes. Totals are in thousandths of a CPU or accelerator.
+// Shares are counted in units, which are fractions of a team's total, so that shares keep their
+// proportion when the total changes. Totals are in thousandths of a CPU or accelerator.
 #pragma once
 
 #include <array>
@@ -13,44 +13,45 @@
 
 namespace badgershore::limits {
 
-// What of a team is divided among cells, each kind by itself. The order is that of the records.
+// The quantities of a team that are divided among cells, each independently of the others. The
+// values are in the order of the stored records.
 enum ResourceKind { kLimitCpu, kLimitGpu, kGuaranteeCpu, kGuaranteeGpu, kResourceKinds };
 using ResourceAmounts = std::array<int64_t, kResourceKinds>;
 using TeamAmounts = std::map<std::string, ResourceAmounts>;
 
-// A total for which the settings name no limit. Survives JSON numbers exactly.
+// The total of a team without a limit in the settings. A JSON number represents it exactly.
 constexpr int64_t kUnlimited = int64_t{1} << 50;
 
-// One cell's transfers to and from another. They are numbered for each direction; the next is sent
-// when the one before is acknowledged.
+// One cell's transfers to and from another. They are numbered in each direction; the next one is
+// sent after the previous one was acknowledged.
 struct TransferAccount {
   uint64_t sent = 0;       // number of the last transfer to the other cell
-  TeamAmounts in_transit;  // of that one, until it is acknowledged; empty: none
+  TeamAmounts in_transit;  // content of that transfer until acknowledged, else empty
   uint64_t received = 0;   // number of the last transfer from the other cell that was added here
-  TeamAmounts net_sent;    // everything ever sent less everything received
+  TeamAmounts net_sent;    // all units ever sent minus all units received
   bool closed = false;     // the other cell was removed: nothing more is sent or received
-  // The newest load of the other cell's record that was heard of. Messages from before it are
-  // ignored: their record may have been replaced by an older copy since.
+  // The nonce of the latest known load of the other cell's record. Messages of earlier loads are
+  // ignored: that record may have been replaced by an older copy since.
   uint64_t nonce = 0;
   bool operator==(const TransferAccount&) const = default;
 };
 
 // The durable record of one cell.
 struct QuotaRecord {
-  uint64_t number = 0;  // counts the record's versions
+  uint64_t number = 0;  // counts the versions of this record
   TeamAmounts held;     // units that this cell may use
-  TeamAmounts totals;   // as last agreed: the least that any cell's settings said
+  TeamAmounts totals;   // as last agreed: the minimum of all cells' settings
   std::map<std::string, TransferAccount> accounts;  // by cell
-  std::map<std::string, bool> inherited;            // removed cells whose shares were added here
+  std::map<std::string, bool> inherited;            // removed cells whose shares were added
   bool operator==(const QuotaRecord&) const = default;
 };
 
-// What a cell with waiting work asks for, of one team's quota.
+// The units of one team's quota that a cell with waiting work requests.
 struct QuotaRequest {
-  ResourceAmounts units{};       // beyond what it holds
+  ResourceAmounts units{};       // in addition to those it holds
   int64_t waiting_since_ms = 0;  // time of day when the first waiting job was submitted
-  int priority = 3;              // of that job; 0 goes first
-  bool all_or_nothing = false;   // for a gang: less is of no use
+  int priority = 3;              // of that job; 0 is the highest
+  bool all_or_nothing = false;   // for a gang, which can use nothing less
   bool any() const {
     for (const int64_t amount : units)
       if (amount > 0) return true;
@@ -59,19 +60,19 @@
   bool operator==(const QuotaRequest&) const = default;
 };
 
-// The state of one cell as its leader sends it to another, repeatedly.
+// The state of one cell, which its leader sends to the leader of another cell periodically.
 struct CellMessage {
   std::string from, to;        // cells
   std::string leader_address;  // of the sender
   uint64_t term = 0;
   uint64_t nonce = 0;               // of the sender's load of its record; never reused
-  uint64_t echoed_nonce = 0;        // the nonce last heard from `to`: shows what this answers
+  uint64_t echoed_nonce = 0;        // last nonce received from `to`; shows which load this answers
   uint64_t sent = 0, received = 0;  // of the sender's account with `to`
   TeamAmounts in_transit;           // transfer number `sent`, until acknowledged
   TeamAmounts held;
-  TeamAmounts totals;                            // by the sender's own settings
+  TeamAmounts totals;                            // from the sender's own settings
   std::map<std::string, QuotaRequest> requests;  // by team
-  std::map<std::string, TeamAmounts> closed;     // removed cells: the sender's net_sent with each
+  std::map<std::string, TeamAmounts> closed;     // by removed cell: the sender's net_sent
   bool operator==(const CellMessage&) const = default;
 };
 
--- a/src/limits/removed_cells.cpp
+++ b/src/limits/removed_cells.cpp
@@ -1,12 +1,12 @@
-// QuotaLedger: cells that an operator has removed for good.
+// QuotaLedger: cells that an operator has removed permanently.
 #include <algorithm>
 
 #include "limits/quota_ledger.h"
 
 namespace badgershore::limits {
 
-// A removed cell's tasks are gone with it. Nothing more is sent to it or received from it, so its
-// account is final.
+// A removed cell runs no tasks. Nothing more is sent to it or received from it, so its account is
+// final.
 void QuotaLedger::CloseRemovedAccounts() {
   for (const Cell& cell : shares_.settings().cells) {
     if (!cell.removed() || cell.name == shares_.settings().self) continue;
@@ -16,8 +16,9 @@
   }
 }
 
-// The net transfers of all active cells to the removed one. None while some cell has not closed its
-// account, or if another cell was removed too: nobody can tell what passed between those two.
+// The net transfers of all active cells to the removed one. Returns nullopt while some cell has not
+// closed its account, or if another cell was removed too, because the transfers between those two
+// are unknown.
 std::optional<std::vector<const TeamAmounts*>> QuotaLedger::NetSentTo(
     const std::string& removed) const {
   const auto& accounts = records_.durable().accounts;
@@ -36,8 +37,8 @@
   return net_sent;
 }
 
-// The successor adds what the removed cell held: its initial share and all that was sent to it,
-// less all that was received from it.
+// The successor adds the units that the removed cell held: its initial share plus all units sent to
+// it minus all units received from it.
 void QuotaLedger::AbsorbRemovedCells() {
   for (const Cell& removed : shares_.settings().cells) {
     if (removed.successor != shares_.settings().self ||
