--- a/src/adapters/cloud_client.cpp
+++ b/src/adapters/cloud_client.cpp
@@ -18,7 +18,7 @@
   const Micros send_at = std::max(now, next_send_at_);
   next_send_at_ = send_at + Seconds(1 / rate_);
   if (send_at > now) co_await loop_->Sleep(send_at - now);
-  // The process may have stood still between the decision and here.
+  // The process may have been paused since the decision was made.
   if (io::Loop::Now() >= request.valid_until)
     co_return CloudResponse{Outcome::kThrottled, {}, {}, {}, false};
   wire::Call call = wire::FormatCloudCall(request);
--- a/src/adapters/cloud_client.h
+++ b/src/adapters/cloud_client.h
@@ -1,4 +1,4 @@
-// HTTP client of the cloud.
+// HTTP client for the cloud's API.
 #pragma once
 
 #include "core/model/effects.h"
@@ -11,7 +11,8 @@
 class CloudClient {
  public:
   CloudClient(io::Loop* loop, const PlatformSettings& settings);
-  // kThrottled also where the request was not sent, or not before its `valid_until`.
+  // Returns kThrottled also if the request was not sent, for example because its `valid_until` had
+  // passed.
   io::Task<CloudResponse> Send(CloudRequest request);
 
  private:
--- a/src/adapters/controller_server.cpp
+++ b/src/adapters/controller_server.cpp
@@ -11,7 +11,7 @@
 constexpr Micros kTickInterval = Millis(100);
 constexpr Micros kLatencyLogInterval = Seconds(60);
 constexpr Micros kHandoverTimeout = Seconds(3);
-constexpr Micros kShutdownDelay = Seconds(1);  // answers and redirects go on meanwhile
+constexpr Micros kShutdownDelay = Seconds(1);  // responds and redirects meanwhile
 constexpr Micros kCommandTimeout = Seconds(3);
 constexpr Micros kJobRequestTimeout = Seconds(4);
 constexpr Micros kHeartbeatTimeout = Seconds(3);
@@ -49,7 +49,7 @@
   }
 }
 
-// Where the request waits no longer its response is dropped.
+// Drops the response to a request that is no longer waiting.
 template <typename Response>
 void Deliver(const std::unordered_map<RequestId, io::Slot<Response>*>& pending,
              std::vector<Response>* responses) {
@@ -99,8 +99,8 @@
   io::Spawn(RunShutdown(std::move(done)));
 }
 
-// After the handover workers that report here are sent to the new leader, and users' open requests
-// are answered.
+// After the handover, agents that send heartbeats here are redirected to the new leader, and users'
+// open requests are answered.
 io::Task<void> ControllerServer::RunShutdown(std::function<void()> done) {
   const Micros deadline = io::Loop::Now() + kHandoverTimeout;
   core_.BeginHandover(io::Loop::Now());
@@ -113,8 +113,8 @@
 void ControllerServer::LogUserLatency() {
   stats::Durations& waits = metrics_.user_waits;
   if (waits.count() == 0) return;
-  spdlog::info("{} answers to users: half within {:.1f} ms, 95% within {:.1f} ms", waits.count(),
-               waits.Quantile(0.5) * 1000, waits.Quantile(0.95) * 1000);
+  spdlog::info("{} user requests answered: median {:.1f} ms, 95th percentile {:.1f} ms",
+               waits.count(), waits.Quantile(0.5) * 1000, waits.Quantile(0.95) * 1000);
   waits.Reset();
 }
 
@@ -132,7 +132,8 @@
 }
 
 void ControllerServer::ApplyEffects() {
-  // A request that ends at once feeds the core again; the outermost call goes on with its effects.
+  // A request that completes immediately calls the core and this function again. The outermost call
+  // then applies the effects.
   if (std::exchange(applying_effects_, true)) return;
   for (;;) {
     Effects effects = core_.TakeEffects();
--- a/src/adapters/controller_server.h
+++ b/src/adapters/controller_server.h
@@ -1,4 +1,4 @@
-// A running controller: the core on the event loop, with its network connections.
+// A running controller: the controller core on an event loop, with its network connections.
 #pragma once
 
 #include <functional>
@@ -16,14 +16,14 @@
 
 namespace badgershore::adapters {
 
-// Turns HTTP requests, peers' messages, responses and ticks into the core's inputs, and carries out
-// the effects. All of it runs on the loop's thread.
+// Passes HTTP requests, peer messages, responses and ticks to the core and applies the effects that
+// it returns. Everything runs on the loop's thread.
 class ControllerServer {
  public:
   ControllerServer(io::Loop* loop, const PlatformSettings& settings, Options options);
-  // Listens for users, workers and peers, and runs the core from then on.
+  // Listens for users, agents and peers and starts the core's ticks.
   [[nodiscard]] Result<void> Start();
-  // Hands leadership over, goes on answering for a second, and then calls `done`.
+  // Hands over leadership, keeps responding for another second, then calls `done`.
   void Shutdown(std::function<void()> done);
 
  private:
@@ -36,7 +36,7 @@
   io::Task<http::ServerAnswer> HandleJobRequest(http::Message request, std::string path);
   io::Task<http::ServerAnswer> HandleHeartbeat(http::Message request);
 
-  // Carries out the core's effects until there are none.
+  // Applies the core's effects until there are none left.
   void ApplyEffects();
   void DeliverResponses(Effects* effects);
   void SendToPeers(const Effects& effects);
--- a/src/adapters/metrics.h
+++ b/src/adapters/metrics.h
@@ -1,5 +1,5 @@
 // Counters of a running controller, published as GET /metrics in the Prometheus text format
-// (version 0.0.4). docs/metrics.md says what each means.
+// (version 0.0.4). docs/metrics.md describes each of them.
 #pragma once
 
 #include <cstdint>
@@ -14,15 +14,16 @@
 namespace badgershore::adapters {
 
 struct Metrics {
-  uint64_t reports = 0;  // workers' reports that were answered, whatever the answer
-  uint64_t report_bytes = 0, report_answer_bytes = 0;  // bodies alone
+  uint64_t reports = 0;  // valid agent heartbeats received, whatever the response
+  uint64_t report_bytes = 0, report_answer_bytes = 0;  // bodies only
   uint64_t direct_calls = 0;
   uint64_t user_requests = 0;
   uint64_t cloud_calls = 0;
-  http::Traffic state;          // requests to the state service, watches among them
-  stats::Durations user_waits;  // users' answers since the last line in the log
+  http::Traffic state;          // requests to the state service, including watches
+  stats::Durations user_waits;  // response times to users since the last log line
 
-  // The counters, the term that this controller leads, and the loop's longest turn, as text.
+  // Formats the counters, the gauges of the leader (if this controller leads) and the loop's
+  // longest turn.
   std::string Text(const std::optional<LeaderGauges>& leader, Micros longest_turn) const;
 };
 
--- a/src/adapters/state_client.cpp
+++ b/src/adapters/state_client.cpp
@@ -9,12 +9,12 @@
 using Kind = StateRequest::Kind;
 using Outcome = StateResponse::Outcome;
 
-// A list or watch answer may be large, but a controller's memory is not.
+// Responses to list and watch requests can be large, but a controller's memory is limited.
 constexpr http::Limits kLimits{8 * 1024, 16 * 1024, 4 * 1024 * 1024};
 
 constexpr Micros kTokenTimeout = Seconds(1);
 constexpr int kMaxWaitingForToken = 200;
-// The service counts as down after so many unanswered requests and so long.
+// The service is considered down after this many requests without a response and this long.
 constexpr int kDownAfterRequests = 3;
 constexpr Micros kDownAfter = Seconds(2);
 
@@ -28,7 +28,7 @@
 
 StateClient::StateClient(io::Loop* loop, const PlatformSettings& settings)
     : loop_(loop),
-      // An equal share for each controller, and some left over for bursts elsewhere.
+      // An equal share for each controller, with some headroom for bursts of other clients.
       rate_(settings.state_rps * 0.9 / static_cast<double>(settings.members.size() + 1)),
       tokens_(rate_),
       tokens_at_(io::Loop::Now()),
@@ -78,8 +78,9 @@
   if (down && !lease && !watch && in_flight_ > 0) co_return Refused();
   wire::Call call = wire::FormatStateCall(request);
   http::Client& client = watch ? watches_ : requests_;
-  // A waiting watch does not show whether requests would be answered. Were it counted, a controller
-  // would refuse its users for as long as an old watch hangs after a network cut.
+  // A waiting watch does not show whether other requests would get a response. If it were counted,
+  // a controller would refuse user requests for as long as an old watch hangs after a network
+  // partition.
   if (!watch) ++in_flight_;
   http::ClientAnswer answer = co_await client.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
--- a/src/adapters/state_client.h
+++ b/src/adapters/state_client.h
@@ -1,4 +1,4 @@
-// HTTP client of the state service.
+// HTTP client for the state service.
 #pragma once
 
 #include <functional>
@@ -9,29 +9,29 @@
 
 namespace badgershore::adapters {
 
-// Keeps to this controller's share of the service's request rate by a token bucket. Requests for
-// leases and watches are exempt. While the service does not answer, one request at a time goes out
-// and the others are refused at once.
+// Limits requests to this controller's share of the service's rate limit with a token bucket. Lease
+// requests and watches are exempt. While the service does not respond, one request at a time is
+// sent and the others are refused immediately.
 class StateClient {
  public:
   StateClient(io::Loop* loop, const PlatformSettings& settings);
-  // kRefused: surely not carried out. kUnknown: sent, but not answered in time.
+  // kRefused: certainly not executed. kUnknown: sent, but no response in time.
   io::Task<StateResponse> Send(StateRequest request);
-  // Of requests and watches together.
+  // Total of requests and watches.
   http::Traffic traffic() const;
 
  private:
-  // False: no token came in time, or too many requests wait for one.
+  // Returns false if no token was available in time or too many requests wait for one.
   io::Task<bool> WaitForToken();
 
   io::Loop* loop_;
-  double rate_;  // requests a second, and the bucket's size
+  double rate_;  // requests a second; also the size of the bucket
   double tokens_;
   Micros tokens_at_;
   int waiting_for_token_ = 0;
   Micros answered_at_;
-  int unanswered_ = 0;  // requests since the last answer
-  int in_flight_ = 0;   // watches apart
+  int unanswered_ = 0;  // requests since the last response
+  int in_flight_ = 0;   // without watches
   http::Client requests_;
   http::Client watches_;
 };
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -8,12 +8,12 @@
 
 constexpr int kMaxMissedProbes = 7;
 constexpr int kIsolatedIntervals = 4;
-constexpr int kPausedIntervals = 2;  // between two ticks: this process has stood still
-// Intervals until a suspicion is confirmed: from the most, where one member alone suspects, to the
-// least, where all do that could confirm it.
+constexpr int kPausedIntervals = 2;  // more than this between two ticks: the process was paused
+// Probe intervals until a suspicion is confirmed: the maximum if only one member suspects, the
+// minimum if all members do that could confirm it.
 constexpr double kMaxConfirmIntervals = 6;
 constexpr double kMinConfirmIntervals = 2;
-constexpr int kGossipFactor = 3;  // times log2 of the members: how often an update is sent
+constexpr int kGossipFactor = 3;  // an update is sent this many times log2 of the member count
 
 }  // namespace
 
@@ -66,7 +66,7 @@
 }
 
 void Members::AddGossip(Message* message) {
-  // A suspected member is told first, so that it can refute.
+  // A suspected member gets the suspicion of it first, so that it can refute it.
   auto view = views_.find(message->to);
   if (view != views_.end() && view->second.state == State::kSuspect) {
     for (const std::string& by : view->second.suspected_by) {
@@ -105,7 +105,7 @@
   outgoing_.push_back(std::move(message));
 }
 
-// An update of this process, or of an earlier incarnation of it.
+// Handles an update about this process or an earlier incarnation of it.
 void Members::Refute(const Update& update) {
   if (update.state == State::kAlive || update.incarnation < incarnation_ || left_) return;
   incarnation_ = update.incarnation + 1;
@@ -123,7 +123,7 @@
     view.state = State::kAlive;
     view.suspected_by.clear();
   } else if (view.state == State::kLeft || update.state == State::kAlive) {
-    return;  // nothing new of this incarnation
+    return;  // nothing new about this incarnation
   }
   if (update.state == State::kLeft) {
     view.state = State::kLeft;
@@ -151,7 +151,7 @@
   auto it = views_.find(message.from);
   if (it == views_.end() || message.to != settings_.self) return;
   View& view = it->second;
-  // Of an ended process, or from before a refutation.
+  // Sent by an ended process, or before a refutation.
   if (message.incarnation < view.incarnation) return;
   if (message.incarnation > view.incarnation) {
     Apply(now, {message.from, State::kAlive, message.incarnation, ""});
@@ -202,8 +202,8 @@
   }
 }
 
-// The interval is over without an answer. The target is suspected if others could not reach it
-// either; where not even those answered, the fault may be this member's.
+// The interval is over. A target that did not respond is suspected if other members could not reach
+// it either. If those did not respond either, the fault may be this member's own.
 void Members::FinishProbe(Micros now) {
   if (probe_.done) return;
   probe_.done = true;
@@ -245,7 +245,7 @@
   }
 }
 
-// What was not answered while this process stood still proves nothing of the others.
+// Responses missing after a process pause prove nothing about the other members.
 void Members::RecoverFromPause(Micros now) {
   probe_.done = true;
   indirect_probes_.clear();
@@ -266,7 +266,7 @@
   SendIndirectProbes(now);
   if (now < next_probe_at_) return;
   FinishProbe(now);
-  // With poor local health probes are rarer: their outcome says less.
+  // With poor local health, probes are sent less often because their outcome is less reliable.
   next_probe_at_ = now + ScaledByHealth(settings_.probe_interval);
   StartProbe(now);
 }
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -1,7 +1,7 @@
-// Failure detection among a cell's controllers by direct and indirect probes, with gossip on the
-// probes' messages (SWIM, Das et al. 2002) and local health (Lifeguard, Dadgar et al. 2018).
+// Failure detection among a cell's controllers by direct and indirect probes, with gossip in the
+// probe messages (SWIM, Das et al. 2002) and local health (Lifeguard, Dadgar et al. 2018).
 //
-// A suspicion takes nothing from the suspected member: leadership ends with its lease alone.
+// A suspicion does not end a member's leadership: only the expiry of the leader's lease does.
 #pragma once
 
 #include <cstdint>
@@ -29,40 +29,42 @@
 };
 
 struct Message {
-  // kPingRequest asks the receiver to probe `target`; kNack answers that the target did not.
+  // kPingRequest asks the receiver to probe `target`; kNack reports that the target did not
+  // respond.
   enum class Kind : uint8_t { kPing, kAck, kPingRequest, kNack };
   Kind kind = Kind::kPing;
   std::string from, to;
   uint64_t incarnation = 0;              // of `from`
   uint64_t number = 0;                   // of the probe
-  std::string target;                    // of a ping request and of its answers
-  bool state_service_reachable = false;  // from `from`
-  bool receives_heartbeats = false;      // `from`, of late
+  std::string target;                    // of a ping request and the responses to it
+  bool state_service_reachable = false;  // by `from`
+  bool receives_heartbeats = false;      // `from` has received agent heartbeats recently
   std::vector<Update> gossip;
 };
 
 struct Settings {
   std::string self;
   std::vector<std::string> others;
-  Micros probe_interval = Millis(500);  // one member is probed in each
-  Micros probe_timeout = Millis(200);   // of a direct probe; then indirect ones are sent
+  Micros probe_interval = Millis(500);  // one member is probed per interval
+  Micros probe_timeout = Millis(200);   // of a direct probe; indirect probes follow
   int indirect_probes = 2;
   int max_updates_per_message = 6;
 };
 
-// One member's view of the others: a state machine without clock or socket, deterministic by its
-// seed. Its owner sends the messages of Take after each call.
+// One member's view of the others: a state machine without clock or sockets, deterministic for a
+// given seed. After each call its owner sends the messages that Take returns.
 class Members {
  public:
-  // `incarnation`: larger than that of any earlier process of this member; a time of day is.
+  // `incarnation` must be larger than that of any earlier process of this member; the time of day
+  // is.
   Members(Settings settings, uint64_t incarnation, uint64_t seed);
 
   void Tick(Micros now);
   void OnMessage(Micros now, const Message& message);
   std::vector<Message> Take() { return std::exchange(outgoing_, {}); }
-  // What this member itself reaches; sent with every message.
+  // Sets what this member can reach; sent with every message.
   void SetReach(bool state_service_reachable, bool receives_heartbeats);
-  // Tells the others that this member ends in an orderly way.
+  // Announces to the other members that this one shuts down.
   void Leave(Micros now);
 
   struct View {
@@ -70,18 +72,19 @@
     uint64_t incarnation = 0;
     std::set<std::string> suspected_by;
     Micros state_since;
-    Micros heard_at{-1};  // a message of its own; negative: never
+    Micros heard_at{-1};  // last message from the member itself; negative if there was none
     bool state_service_reachable = false;
     bool receives_heartbeats = false;
   };
-  // Null: not a member.
+  // Returns null for an unknown member.
   const View* Find(const std::string& member) const;
-  // Suspected for so long, and by so many, that preparing for its end pays.
+  // True if the member was suspected for long enough, and by enough members, to prepare for its
+  // failure.
   bool IsSuspicionConfirmed(Micros now, const std::string& member) const;
   // Local health: 1 while this member's probes are answered in time, up to 8 while they are not,
-  // which may be its own fault. Multiplies all its timeouts.
+  // which may be its own fault. Multiplies all timeouts of this member.
   int health_multiplier() const { return 1 + missed_probes_; }
-  // No member has answered for several intervals: this member is the one that is cut off.
+  // No member has responded for several intervals, so this member is probably the isolated one.
   bool IsIsolated(Micros now) const;
   uint64_t incarnation() const { return incarnation_; }
 
@@ -91,10 +94,10 @@
     std::string target;
     Micros sent_at;
     bool indirect_sent = false;
-    int nacks = 0;  // answers to the indirect probes
+    int nacks = 0;  // received for the indirect probes
     bool done = true;
   };
-  struct IndirectProbe {  // on behalf of another member
+  struct IndirectProbe {  // made for another member
     std::string requester, target;
     uint64_t number = 0;  // of the requester's probe
     Micros deadline;
@@ -123,11 +126,11 @@
   bool receives_heartbeats_ = false;
   bool left_ = false;
   std::map<std::string, View> views_;
-  std::vector<std::string> probe_order_;  // shuffled anew for each round
+  std::vector<std::string> probe_order_;  // shuffled again for each round
   size_t probe_index_ = 0;
   uint64_t last_number_ = 0;
   Probe probe_;
-  std::map<uint64_t, IndirectProbe> indirect_probes_;  // by the number of the own probe
+  std::map<uint64_t, IndirectProbe> indirect_probes_;  // by the number of this member's probe
   std::deque<QueuedUpdate> gossip_;
   int missed_probes_ = 0;
   Micros next_probe_at_{-1};
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -52,7 +52,7 @@
 namespace peer {
 namespace {
 
-// Flags above the size in the header.
+// Flags in the header, in the bits above the size.
 constexpr uint32_t kCellFlag = uint32_t{1} << 30;
 constexpr uint32_t kMembershipFlag = uint32_t{1} << 29;
 
@@ -100,7 +100,7 @@
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
-    // Fields of later versions come last: an earlier version does not read them.
+    // Fields added by later versions come last; earlier versions do not read them.
     archive(status, status.receives_heartbeats, status.cancelling, status.cancelled);
   }
   return AddHeader(out.str(), 0);
@@ -117,7 +117,7 @@
 std::optional<PeerStatus> DecodePeerStatus(std::string_view body) {
   std::istringstream in{std::string(body)};
   PeerStatus status;
-  int versions_read = 0;  // of those that added fields
+  int versions_read = 0;  // how many versions' sets of fields were read
   try {
     cereal::PortableBinaryInputArchive archive(in);
     archive(status);
--- a/src/peer/messages.h
+++ b/src/peer/messages.h
@@ -1,5 +1,5 @@
-// Frames between controllers: a header of four bytes (size and kind), then a message in cereal's
-// portable binary form.
+// Frames between controllers: a four-byte header (size and kind) followed by a message in cereal's
+// portable binary format.
 #pragma once
 
 #include <cstddef>
@@ -20,15 +20,15 @@
   FrameKind kind = FrameKind::kPeerStatus;
 };
 
-// A whole frame.
+// Returns a complete frame.
 std::string EncodeFrame(const PeerStatus& status);
 std::string EncodeFrame(const limits::CellMessage& message);
 std::string EncodeFrame(const membership::Message& message);
 
-// `header`: at least kHeaderBytes. None: the size is out of bounds.
+// `header` must have at least kHeaderBytes. Returns nullopt if the size is out of bounds.
 std::optional<FrameHeader> DecodeHeader(std::string_view header);
 
-// A frame's body. None: malformed.
+// Decode the body of a frame. Return nullopt if it is malformed.
 std::optional<PeerStatus> DecodePeerStatus(std::string_view body);
 std::optional<limits::CellMessage> DecodeCellMessage(std::string_view body);
 std::optional<membership::Message> DecodeMembershipMessage(std::string_view body);
--- a/src/peer/peer_transport.cpp
+++ b/src/peer/peer_transport.cpp
@@ -9,7 +9,7 @@
 constexpr int kMaxReceivers = 96;                  // controllers of this cell and leaders of others
 constexpr Micros kConnectTimeout = Seconds(1);
 constexpr Micros kWriteTimeout = Seconds(2);
-constexpr Micros kReadTimeout = Seconds(20);  // statuses come twice a second
+constexpr Micros kReadTimeout = Seconds(20);  // peers send their status twice a second
 
 }  // namespace
 
@@ -48,7 +48,7 @@
 void PeerTransport::Send(const membership::Message& message) {
   for (auto& peer : peers_) {
     if (peer->name != message.to) continue;
-    // To a peer that can't be reached they are out of date.
+    // The peer is unreachable and the pending messages are out of date.
     if (peer->membership_frames.size() > kMaxMembershipBytes) peer->membership_frames.clear();
     peer->membership_frames += EncodeFrame(message);
     StartSending(peer.get());
--- a/src/peer/peer_transport.h
+++ b/src/peer/peer_transport.h
@@ -16,8 +16,8 @@
 
 namespace badgershore::peer {
 
-// Connects to each receiver on demand and accepts connections of others. Messages may be lost or
-// replaced by later ones; nothing is acknowledged.
+// Connects to each receiver on demand and accepts connections from other controllers. Messages may
+// be lost or replaced by later ones; they are not acknowledged.
 class PeerTransport {
  public:
   struct Callbacks {
@@ -27,21 +27,21 @@
   };
   PeerTransport(io::Loop* loop, const PlatformSettings& settings, Callbacks callbacks);
 
-  // Listens for peers and serves from then on.
+  // Listens for peers and starts to receive messages.
   [[nodiscard]] Result<void> Start();
-  // To all of the cell's other controllers.
+  // Sends to all other controllers of the cell.
   void Send(const PeerStatus& status);
-  // To the member that the message names.
+  // Sends to the member in `message.to`.
   void Send(const membership::Message& message);
-  // To controllers of another cell.
+  // Sends to controllers of another cell.
   void Send(const CellDelivery& delivery);
 
  private:
   struct Outgoing {
     std::string name;
     std::string address;
-    std::string latest_frame;       // replaces an older one that has not been sent
-    std::string membership_frames;  // each of these is sent
+    std::string latest_frame;       // replaces an older frame that was not sent
+    std::string membership_frames;  // all of these are sent
     bool sending = false;
     io::Socket socket;
   };
@@ -49,7 +49,7 @@
   io::Task<void> SendPending(Outgoing* peer);
   io::Task<void> Accept();
   io::Task<void> Receive(io::Socket socket);
-  // Handles and removes the complete frames; false: the stream is malformed.
+  // Handles and removes all complete frames. Returns false if the stream is malformed.
   bool HandleFrames(std::string* received);
   void HandleMessage(FrameKind kind, std::string_view body);
 
