--- a/src/agent/core/agent.cpp
+++ b/src/agent/core/agent.cpp
@@ -53,7 +53,7 @@
 
 void Agent::Start(Micros, const Command& order) {
   const TaskKey key{order.ref, order.attempt};
-  if (tasks_.contains(key)) return;  // in any state, refused and exited included
+  if (tasks_.contains(key)) return;  // in any state, including refused and exited tasks
   Held& held = tasks_[key];
   Changed();
   for (auto it = tasks_.lower_bound({order.ref, 0});
@@ -74,7 +74,7 @@
     const Resources room = settings_.size - Used();
     held.spec = spec;
     if (!spec->need.Fits(room)) {
-      // What is refused holds nothing; exiting by the ordinary way would give up a fetch.
+      // A refused task uses no resources and has started no image fetch, which Exit() could cancel.
       held.state = TaskPhase::kExited;
       held.cause = ExitReason::kInsufficientResources;
       Changed();
@@ -87,7 +87,7 @@
 void Agent::Admit(Micros now, const TaskKey& key, Held* held) {
   auto image = images_.find(held->spec->image);
   if (image != images_.end() && image->second) return Launch(now, key, held);
-  if (image != images_.end()) return;  // on its way for another task
+  if (image != images_.end()) return;  // being fetched for another task
   images_[held->spec->image] = false;
   Action& fetch = Say(Action::Kind::kFetch);
   fetch.text = held->spec->image;
@@ -125,7 +125,7 @@
 void Agent::OnExit(Micros, const TaskKey& task, ExitReason cause, bool saved) {
   auto it = tasks_.find(task);
   if (it == tasks_.end() || it->second.state == TaskPhase::kExited) return;
-  it->second.launched = false;  // it is gone already
+  it->second.launched = false;  // it has exited already
   Exit(task, &it->second, cause, saved);
 }
 
@@ -135,7 +135,8 @@
   if (it == tasks_.end() || it->second.state == TaskPhase::kExited) return;
   Held& held = it->second;
   const bool can_save = held.spec && held.spec->checkpoint_interval > Micros{};
-  if (held.state == TaskPhase::kCheckpointing && order.grace_period > Micros{}) return;  // is at it
+  if (held.state == TaskPhase::kCheckpointing && order.grace_period > Micros{})
+    return;  // in progress
   if (held.state == TaskPhase::kRunning && can_save &&
       order.grace_period >= held.spec->checkpoint_duration) {
     held.state = TaskPhase::kCheckpointing;
@@ -214,7 +215,7 @@
   if (notice_at_) c.report.preemption_notice = std::max(Micros{}, *notice_at_ - now);
 }
 
-// When the next report is due, a quarter more or less than the interval.
+// Sets the time of the next heartbeat to the interval with a jitter of up to 25%.
 void Agent::Next(Micros) {
   jitter_ = jitter_ * 6364136223846793005ULL + 1442695040888963407ULL;
   const double share = 0.75 + 0.5 * static_cast<double>(jitter_ >> 40) / (1 << 24);
@@ -223,8 +224,8 @@
 
 void Agent::OnAnswer(Micros now, uint64_t report_id, const HeartbeatResponse& answer) {
   if (!reporting_ || report_id != report_id_) return;
-  // What has run out ends first, but no report leaves before the answer's orders are carried out:
-  // the controllers take a report without a start as the proof that it never came.
+  // Expired tasks end first, but no heartbeat is sent before the response's commands are executed:
+  // controllers take a heartbeat without a started task as proof that the start never arrived.
   EndWhatIsDue(now);
   reporting_ = false;
   Next(now);
@@ -234,7 +235,8 @@
 
 void Agent::Heed(Micros now, const HeartbeatResponse& answer) {
   if (answer.status == 200) {
-    // One with a lower token is dropped and renews nothing; this node is kept all the same.
+    // A response with a lower token is ignored and does not renew the lease, but the agent stays
+    // with this controller.
     if (reported_session_ != session_ || answer.fencing_token < fencing_token_ ||
         answer.fencing_token == 0)
       return;
@@ -271,8 +273,8 @@
   }
 }
 
-// A change is reported at once, but not closer than the least gap to the report before, and not
-// before the pause after a node that did not answer is over.
+// A change is reported immediately, but not before the minimum gap after the previous heartbeat and
+// not before the retry delay after a controller that did not respond.
 Micros Agent::ReportDue() const {
   return changed_ ? std::min(report_at_, std::max(sent_at_ + kLeastGap, hold_until_)) : report_at_;
 }
--- a/src/agent/core/agent.h
+++ b/src/agent/core/agent.h
@@ -1,6 +1,6 @@
-// A worker as a state machine: PROTOCOL "Workers", "Gangs" and "Controller nodes -> workers" from
-// the worker's side. It knows no clock, socket or process: it says when to report, what to fetch
-// and which tasks to start and stop, and is told what came of it.
+// The agent of a machine as a state machine: the agent's side of PROTOCOL "Workers", "Gangs" and
+// "Controller nodes -> workers". It uses no clock, sockets or processes. It returns actions (send a
+// heartbeat, fetch an image, start or stop a task), and its owner reports their results.
 #pragma once
 
 #include <cstdint>
@@ -22,16 +22,16 @@
   Micros report_every, lease, gang_wait;
 };
 
-// What the machine is to do. Everything is done in order.
+// An action that the machine has to execute. Actions are executed in order.
 struct Action {
   enum class Kind {
-    kReport,    // send `report` to `controller`; one is under way at a time
-    kDescribe,  // fetch the description of job `text`
-    kFetch,     // fetch image `text` of `gb`
-    kGiveUp,    // nobody waits for image `text` any more
-    kLaunch,    // the image is there: run the task, or let it wait for its gang
-    kSave,      // let the task save and end
-    kKill,      // end the task now; nothing of it may be left when this has been done
+    kReport,    // send `report` to `controller`; only one is in flight at a time
+    kDescribe,  // fetch the specification of job `text`
+    kFetch,     // fetch image `text`, which has `gb` gigabytes
+    kGiveUp,    // cancel the fetch of image `text`: no task waits for it any more
+    kLaunch,    // the image is present: run the task, or let it wait for its gang
+    kSave,      // let the task write a checkpoint and exit
+    kKill,      // end the task now; nothing of it may remain afterwards
   };
   Kind kind = Kind::kReport;
   uint64_t report_id = 0;
@@ -44,23 +44,25 @@
 
 class Agent {
  public:
-  // `jitter` spreads reports: each comes 0.75 to 1.25 of the interval after the one before.
+  // `jitter` spreads heartbeats: each is sent 0.75 to 1.25 intervals after the previous one.
   Agent(Settings settings, uint64_t jitter, Micros now);
 
   void Tick(Micros now);
   Micros NextDeadline() const;
 
-  // The answer to a report; status 0: none within the time, or no connection.
+  // Handles the response to a heartbeat. Status 0 means no response in time or no connection.
   void OnAnswer(Micros now, uint64_t report_id, const HeartbeatResponse& answer);
-  // POST /do. The report to answer with is Status() afterwards; 200 or 409.
+  // Handles POST /do and returns the status, 200 or 409. The body of the response is Status()
+  // afterwards.
   int OnDirect(Micros now, uint64_t fencing_token, uint64_t session,
                const std::vector<Command>& orders);
   Heartbeat Status();  // takes a new sequence number
 
   void OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec);
   void OnImage(Micros now, const std::string& image);
-  void OnGangComplete(Micros now, const TaskKey& task);  // waiting is over: it runs
-  // A task has ended by itself, or after kSave. What it was killed for is known here already.
+  void OnGangComplete(Micros now, const TaskKey& task);  // the task stops waiting and runs
+  // A task has exited by itself or after kSave. Ignored for a killed task, whose reason is already
+  // recorded.
   void OnExit(Micros now, const TaskKey& task, ExitReason cause, bool saved);
   void SetNotice(Micros now, std::optional<Micros> left);
 
@@ -78,7 +80,7 @@
     bool saved = false;
     bool launched = false;
     std::optional<JobSpec> spec;
-    Micros waits_until = kNever;  // a gang's task that waits for the others
+    Micros waits_until = kNever;  // for a task that waits for the rest of its gang
   };
 
   void Heed(Micros now, const HeartbeatResponse& answer);
@@ -106,18 +108,18 @@
   Settings settings_;
   uint64_t jitter_;
   std::map<TaskKey, Held> tasks_;
-  std::map<std::string, bool> images_;  // wanted or had: is it there?
-  std::optional<Micros> notice_at_;     // when the machine is taken back
+  std::map<std::string, bool> images_;  // requested or present; true if present
+  std::optional<Micros> notice_at_;     // when the machine will be preempted
   uint64_t session_ = 1, sequence_ = 0, fencing_token_ = 0;
   Micros lease_end_;
-  // Reporting.
+  // Heartbeats.
   size_t at_ = 0;
   uint64_t report_id_ = 0;
   bool reporting_ = false;
   uint64_t reported_session_ = 0;
   Micros sent_at_, report_at_, hold_until_;
   bool changed_ = false;
-  Micros token_change_from_;  // a higher fencing token counts as a change again from here on
+  Micros token_change_from_;  // from then on a higher fencing token causes a heartbeat again
   std::vector<Action> out_;
 };
 
--- a/src/wire/json.h
+++ b/src/wire/json.h
@@ -1,4 +1,4 @@
-// Small helpers over rapidjson: checked reading, and writing.
+// Helpers around rapidjson for checked reading and for writing.
 #pragma once
 
 #include <rapidjson/document.h>
@@ -21,13 +21,13 @@
   return !doc->HasParseError() && doc->IsObject();
 }
 
-// The member, or null where it is absent or null.
+// Returns the member, or null if it is absent or null.
 inline const Value* Find(const Value& object, const char* name) {
   if (!object.IsObject()) return nullptr;
   auto it = object.FindMember(name);
   return it == object.MemberEnd() || it->value.IsNull() ? nullptr : &it->value;
 }
-// The same where it is a list.
+// Returns the member if it is an array, else null.
 inline const Value* List(const Value& object, const char* name) {
   const Value* list = Find(object, name);
   return list && list->IsArray() ? list : nullptr;
@@ -44,7 +44,7 @@
   const Value* v = Find(object, name);
   if (!v) return 0;
   if (v->IsUint64()) return v->GetUint64();
-  // Counts may come as decimals that are whole.
+  // Clients may send integers as floating-point numbers.
   return v->IsDouble() && v->GetDouble() >= 0 && v->GetDouble() < 1.8e19
              ? static_cast<uint64_t>(v->GetDouble())
              : 0;
@@ -74,7 +74,7 @@
   Writer& Str(const std::string& v) {
     return w_.String(v.data(), static_cast<rapidjson::SizeType>(v.size())), *this;
   }
-  // JSON text that is known to be good.
+  // Writes JSON text that is known to be valid.
   Writer& RawText(const std::string& v) {
     return w_.RawValue(v.data(), v.size(), rapidjson::kObjectType), *this;
   }
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -26,7 +26,7 @@
   return "pending";
 }
 
-// Reads fields and keeps the first thing that is wrong.
+// Reads fields of an object and keeps the first error.
 class Checker {
  public:
   explicit Checker(const Value& object) : object_(object) {}
@@ -77,8 +77,8 @@
   std::string problem_;
 };
 
-// Only what may be null (builds, yard, dueS) may be absent. What is recorded already is read by
-// records.cpp, whatever it lacks.
+// Only fields that may be null (builds, yard, dueS) may be absent. Jobs that are already stored are
+// read by records.cpp, which accepts missing fields.
 JobSpec ReadJob(const Value& v, Checker* c) {
   JobSpec s;
   s.job_class = c->Name("lane");
@@ -91,7 +91,7 @@
                                            {"normal", Priority::kNormal},
                                            {"idle", Priority::kIdle}});
   s.tasks = c->Whole("legs", 1, 100000);
-  // Rounded up: what a task takes is never less than it says.
+  // Rounded up, so that a task is never counted with less than it requests.
   s.need.cpu = static_cast<int64_t>(std::ceil(c->Amount("cpus", 0, 1e6) * 1000 - 1e-6));
   s.need.gpu = static_cast<int64_t>(std::ceil(c->Amount("accelerators", 0, 1e6) * 1000 - 1e-6));
   s.need.mem = static_cast<int64_t>(std::ceil(c->Amount("memGb", 0, 1e7) * 1000 - 1e-6));
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -1,4 +1,5 @@
-// The platform's JSON messages, to and from the core's terms. Wire names live only here.
+// Converts the platform's JSON messages to and from the core's types. The names used on the wire
+// appear only in this module.
 #pragma once
 
 #include <optional>
@@ -16,26 +17,26 @@
   Micros timeout;
 };
 
-// Users.
+// Messages of users.
 Submission ParseSubmission(std::string_view body, int64_t time_of_day_ms);
 bool ValidJobId(std::string_view id);
 std::string FormatAnswer(const ApiResponse& answer);
 
-// Workers.
+// Messages of agents, as a controller reads and writes them.
 std::optional<Heartbeat> ParseReport(std::string_view body);
 std::string FormatCheckinAnswer(const HeartbeatResponse& answer);
 std::string FormatDirect(const CommandRequest& op);
 
-// The same from the worker's side.
+// The same messages, as an agent writes and reads them.
 std::string FormatReport(const Heartbeat& report);
 HeartbeatResponse ParseCheckinAnswer(int status, std::string_view body);
 std::optional<CommandRequest> ParseDirect(std::string_view body);
 
-// Cloud.
+// Requests to the cloud and its responses.
 Call FormatCloudCall(const CloudRequest& op);
 CloudResponse ParseCloudAnswer(const CloudRequest& op, int status, std::string_view body);
 
-// State service.
+// Requests to the state service and its responses.
 Call FormatStateCall(const StateRequest& op);
 StateResponse ParseStateAnswer(const StateRequest& op, int status, std::string_view body);
 
--- a/src/wire/platform_messages.cpp
+++ b/src/wire/platform_messages.cpp
@@ -1,4 +1,4 @@
-// What controllers say to the cloud and to the state service, and what these answer.
+// Requests of controllers to the cloud and to the state service, and the responses to them.
 #include <algorithm>
 
 #include "wire/json.h"
@@ -254,7 +254,7 @@
     case Kind::kWatch:
       c.target = "/changes?starts=" + op.key + "&since=" + std::to_string(op.revision) +
                  "&waitMs=" + std::to_string(op.duration.ToMillis());
-      // One that is answered often is soon asked again.
+      // A short watch is repeated soon, so it gets a shorter timeout.
       c.timeout = op.duration + (op.duration < Seconds(2) ? Seconds(1) : Seconds(3));
       break;
   }
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -31,7 +31,7 @@
   return {static_cast<int64_t>(Number(v, name))};
 }
 
-// Units by team, as lists in the order of limits::ResourceKind.
+// Writes units by team, as arrays in the order of limits::ResourceKind.
 void PutAmounts(Writer* w, const char* key, const limits::TeamAmounts& amounts) {
   w->Key(key).Begin();
   for (const auto& [team, amounts] : amounts) {
--- a/src/wire/records.h
+++ b/src/wire/records.h
@@ -1,4 +1,4 @@
-// Durable records as JSON values; their names are the project's own.
+// Durable records as JSON values. The field names are part of the stored format.
 #pragma once
 
 #include <string>
@@ -9,7 +9,8 @@
 namespace badgershore::wire {
 
 void PutRecord(Writer* w, const Record& record);
-// By the key's prefix; an empty record where the value makes no sense.
+// Reads the record type that belongs to the key's prefix. Returns an empty record if the value is
+// invalid.
 Record ReadRecord(const std::string& key, const Value& value);
 
 }  // namespace badgershore::wire
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -9,7 +9,7 @@
 
 using store::Outcome;
 
-// Values are copied by recursion; no honest one is nested deeper.
+// Values are copied recursively. No valid client nests them deeper.
 constexpr int kMostDepth = 200;
 
 bool TooDeep(std::string_view text) {
@@ -64,10 +64,11 @@
   return !s.empty() && ec == std::errc() && end == s.data() + s.size();
 }
 
-// The query's fields; false where one is malformed.
+// The parameters of a query string.
 struct Query {
   std::string starts, since;
   uint64_t limit = 1000, wait_ms = 0;
+  // Returns false if a parameter is malformed.
   bool Read(std::string_view text) {
     while (!text.empty()) {
       const size_t amp = text.find('&');
@@ -101,7 +102,7 @@
 
 bool ReadWhole(const Value& object, const char* name, uint64_t* out) {
   const Value* v = Find(object, name);
-  if (!v) return true;  // absent is 0
+  if (!v) return true;  // an absent number is 0
   if (!v->IsNumber() || (!v->IsUint64() && !(v->GetDouble() >= 0 && v->GetDouble() < 1.8e19 &&
                                              std::floor(v->GetDouble()) == v->GetDouble()))) {
     return false;
@@ -309,7 +310,7 @@
   rapidjson::Document doc;
   if (!ParseStrict(line, &doc)) return false;
   const auto value = doc.FindMember("value");
-  // rapidjson's own comparison is ambiguous by the rules of C++20.
+  // Comparing rapidjson iterators is ambiguous under the rules of C++20.
   const bool has_value = doc.HasMember("value");
   if (Find(doc, "path")) {
     const std::string key = Text(doc, "path");
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -1,5 +1,5 @@
-// The state service's side of PROTOCOL "Controller nodes -> state service": HTTP requests to its
-// terms, its answers to HTTP.
+// The state service's side of PROTOCOL "Controller nodes -> state service": converts HTTP requests
+// to requests of the store, and the store's responses to HTTP responses.
 #pragma once
 
 #include <optional>
@@ -11,25 +11,25 @@
 namespace badgershore::wire {
 
 struct StoreCall {
-  int status = 0;  // not 0: refuse with this, and why
+  int status = 0;  // if not 0, the HTTP status of an invalid request, with `error`
   std::string error;
   store::Request request;
 };
 StoreCall ParseStoreCall(std::string_view method, std::string_view target, std::string_view body);
 
-// What was asked decides the answer's form. 0 as a status: give no answer at all.
+// Formats the response to `request`. Status 0 means that no response must be sent.
 struct StoreAnswer {
   int status = 503;
   std::string body;
 };
 StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Response& answer);
 
-// One JSON object a line, for dumps and snapshots.
+// Lines of dumps and snapshots, each with one JSON object.
 std::string FormatItemLine(const std::string& key, const store::VersionedValue& item);
 std::string FormatLeaseLine(uint64_t id, Micros life);
 std::string FormatChangeLine(const store::ChangeLogEntry& row);
 std::string FormatHeadLine(const store::StateImage& image);
-// Adds what a line says to the image; false where it makes no sense.
+// Adds the content of a line to the image. Returns false if the line is invalid.
 bool ReadLine(std::string_view line, store::StateImage* image);
 
 }  // namespace badgershore::wire
