--- a/tests/agent_test.cpp
+++ b/tests/agent_test.cpp
@@ -1,4 +1,4 @@
-// The worker's state machine against PROTOCOL's words.
+// The agent's state machine, checked against PROTOCOL.
 #include "agent/core/agent.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
  protected:
   Worker() { agent.Tick(now); }
 
-  // The report that is under way, if one was just sent.
+  // The heartbeat that was just sent, if any.
   std::optional<Action> Report() {
     for (Action& c : agent.Take()) {
       commands.push_back(c);
@@ -29,7 +29,7 @@
     a.leader = std::move(leader);
     agent.OnAnswer(now, report.report_id, a);
   }
-  // Time passes until a report is sent, at most for `span`.
+  // Advances the time until a heartbeat is sent, at most by `span`.
   Action Advance(Micros span) {
     const Micros until = now + span;
     while (agent.NextDeadline() <= until) {
@@ -70,7 +70,7 @@
     }
     return nullptr;
   }
-  // Up to running, in the first session under fencing token 5.
+  // Starts a task and lets it run, in the first epoch with fencing token 5.
   void Running(JobKind shape = JobKind::kArray) {
     Answer(*Report(), 5, {Start("job-1", 0, 1)});
     agent.OnDescription(now, "job-1", Spec(shape));
@@ -91,12 +91,13 @@
   std::optional<Action> sent;
 };
 
-// Guards against: a report that leaves before the answer's starts are carried out. Controllers
-// take its missing starts for a proof that they never came, and count their room as free: seen as
-// a job that crowded a zone (docs/incidents/report-before-orders.md).
+// Guards against a heartbeat that is sent before the start commands of the previous response are
+// executed. Controllers take the missing tasks as proof that the commands never arrived and count
+// their resources as free. This led to a job with too many tasks in one zone
+// (docs/incidents/report-before-orders.md).
 TEST_F(Worker, CarriesOutAnAnswersOrdersBeforeTheNextReport) {
   const Action first = *Report();
-  now += Seconds(3);  // the answer was held; the next report is long due
+  now += Seconds(3);  // the response is delayed; the next heartbeat is overdue
   Answer(first, 5, {Start("job-1", 0, 1)});
   const auto next = Report();
   ASSERT_TRUE(next);
@@ -115,7 +116,7 @@
   EXPECT_EQ(Find(r, 0, 2)->exit_reason, ExitReason::kDuplicateTask);
   EXPECT_EQ(Find(r, 0, 3)->exit_reason, ExitReason::kUnknownTask);
   EXPECT_EQ(Find(r, 1, 4)->exit_reason,
-            ExitReason::kInsufficientResources);  // fetching tasks count
+            ExitReason::kInsufficientResources);  // fetching tasks use resources
   EXPECT_EQ(Find(r, 9, 5)->exit_reason, ExitReason::kUnknownTask);
 }
 
@@ -131,7 +132,7 @@
   Answer(r, 5, {{Command::Verb::kForget, {"job-1", 0}, 1, {}}, Start("job-1", 0, 1)});
   agent.OnDescription(now, "job-1", Spec());
   Report();
-  EXPECT_TRUE(Did(Kind::kLaunch));  // forgotten: it is started once more
+  EXPECT_TRUE(Did(Kind::kLaunch));  // a forgotten task can be started again
 }
 
 TEST_F(Worker, ALowerTokenIsNeitherObeyedNorRenewsTheLease) {
@@ -145,10 +146,10 @@
   EXPECT_EQ(agent.session(), 2u);
   EXPECT_TRUE(Did(Kind::kKill, "job-1"));
   EXPECT_EQ(agent.tasks(), 0u);
-  EXPECT_EQ(agent.OnDirect(now, 5, 1, {Start("job-1", 1, 7)}), 409);  // of an earlier session
+  EXPECT_EQ(agent.OnDirect(now, 5, 1, {Start("job-1", 1, 7)}), 409);  // of an earlier epoch
 }
 
-// The lease counts from the sending of the report, not from its answer.
+// The lease starts when the heartbeat is sent, not when the response arrives.
 TEST_F(Worker, TheLeaseCountsFromTheReportsSending) {
   const Action first = *Report();
   const Micros at = now;
@@ -171,7 +172,7 @@
   EXPECT_FALSE(Did(Kind::kKill));
   r = Advance(Seconds(3));
   EXPECT_EQ(Find(r, 0, 1)->phase, TaskPhase::kCheckpointing);
-  Answer(r, 5, {Halt("job-1", 0, 1, 5)});  // repeated: does nothing
+  Answer(r, 5, {Halt("job-1", 0, 1, 5)});  // a repeated command has no effect
   Report();
   EXPECT_FALSE(Did(Kind::kKill));
   EXPECT_EQ(agent.OnDirect(now, 5, 1, {Halt("job-1", 0, 1, 0)}), 200);
@@ -215,12 +216,13 @@
   r = Advance(Millis(500));
   EXPECT_EQ(r.controller, (at + 2) % 3);
   Micros before = now;
-  Answer(r, 0, {}, 0);  // no answer: the next node, a second later
+  Answer(r, 0, {}, 0);  // no response: the next controller, a second later
   r = Advance(Seconds(2));
   EXPECT_EQ(r.controller, at);
   EXPECT_GE(now - before, Seconds(1));
   Answer(r, 5);
-  // Changes are told at once, though never closer than half a second; else about each interval.
+  // Changes are reported immediately, but at least half a second after the previous heartbeat;
+  // otherwise heartbeats are sent about once per interval.
   for (int i = 0; i < 20; ++i) {
     before = now;
     agent.SetNotice(now, Seconds(60));
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,4 +1,5 @@
-// Reads what earlier versions wrote (tests/fixtures) and writes it back byte for byte.
+// Reads data written by earlier versions (tests/fixtures) and checks that it is written back byte
+// for byte.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
@@ -24,7 +25,7 @@
   return std::string(BADGERSHORE_FIXTURES) + "/" + name;
 }
 
-// Lines of a name, a space and a value.
+// Reads lines of the form "name value".
 std::map<std::string, std::string> ReadNamedLines(const std::string& fixture) {
   std::map<std::string, std::string> values;
   std::ifstream in(FixturePath(fixture));
@@ -313,7 +314,7 @@
   return ReadFixtureBytes("replication_messages.txt", name);
 }
 
-// Decodes a recorded message, checks its envelope and that it is encoded to the same bytes.
+// Decodes a recorded message, and checks its envelope and that it encodes to the same bytes.
 template <typename Body>
 Body ReadReplicationMessage(const std::string& name) {
   const std::string bytes = ReplicationBytes(name);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// Rights divided among cells: the pure machine by itself, and every order of events around it.
+// Quota shares of cells: the ledger alone, and an exploration of all orders of events around it.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -20,7 +20,7 @@
 
 constexpr int64_t kWhole = 900000;  // thousandths of a CPU
 
-// Cells whose records are always written and whose notes arrive, unless a test says otherwise.
+// Cells whose records are always written and whose messages arrive, except those in `cut`.
 struct Cells {
   explicit Cells(std::vector<limits::Cell> named) {
     settings.cells = std::move(named);
@@ -93,7 +93,7 @@
   cells.Run(10);  // 5 s
   EXPECT_GE(cells.Usable("a"), kWhole * 95 / 100);
   EXPECT_LE(cells.Sum(), kWhole);
-  // The others get their share back as what runs here ends, and only then.
+  // The other cells get their shares back when tasks of this cell end, and not earlier.
   cells.Need("b", 0, kWhole);
   cells.Need("a", cells.Usable("a"), kWhole);
   cells.Run(10);
@@ -113,7 +113,7 @@
   cells.Run(20);
   EXPECT_EQ(cells.Usable("c"), kWhole / 3);
   EXPECT_LE(cells.Usable("a"), kWhole * 2 / 3);
-  // Its next leader has heard nobody: what was never given away is all that it can be sure of.
+  // Its next leader has received no message. It may use only the floor, which is never transferred.
   cells.Start("c", cells.stored["c"]);
   cells.Need("c", 0, kWhole);
   EXPECT_EQ(cells.Usable("c"), kWhole / 60);
@@ -122,7 +122,7 @@
   EXPECT_GT(cells.Usable("c"), kWhole / 4);
 }
 
-// Two gangs that each demand more than half would wait for each other with half each.
+// Guards against a deadlock of two gangs that need more than half of the quota each and hold half.
 TEST(Limits, GangsLargerThanAnyShareGatherOneAfterTheOther) {
   Cells cells(kThree);
   cells.Run(3);
@@ -142,7 +142,7 @@
   cells.Start("a", cells.stored["a"], kWhole / 2);
   cells.Run(3);
   for (const char* name : {"a", "b", "c"}) EXPECT_EQ(cells.Usable(name), kWhole / 6) << name;
-  // Raised at one cell, it counts when it is raised at all.
+  // A total that is raised at one cell takes effect once all cells have raised it.
   cells.Start("a", cells.stored["a"], kWhole * 2);
   cells.Start("b", cells.stored["b"], kWhole * 2);
   cells.Run(3);
@@ -181,7 +181,7 @@
   EXPECT_GE(cells.Usable("a"), kWhole * 9 / 10);
   EXPECT_LE(cells.Sum(), kWhole);
   const int64_t once = cells.Usable("a");
-  cells.Start("a", cells.stored["a"]);  // not a second time
+  cells.Start("a", cells.stored["a"]);  // a restart must not add the units again
   cells.Run(5);
   EXPECT_EQ(cells.Usable("a"), once);
 }
@@ -204,25 +204,25 @@
   return out;
 }
 
-// Two cells to the end of the state space, three as far as a minute goes.
+// Explores all states of two cells, and a bounded number of states of three cells.
 TEST(LimitsModel, NoOrderOfEventsPassesALimit) {
   LimitsPlan two;
   two.cells = 2;
   two.whole = 3;
   two.crashes = 0;
   two.transfers = 1;
-  const check::Outcome all = Explore(two, 200000, "two cells, a restore, a late note");
+  const check::Outcome all = Explore(two, 200000, "two cells, a restore, a delayed message");
   EXPECT_EQ(all.broken, "");
   EXPECT_TRUE(all.whole);
   two.crashes = 1;
   two.transfers = 2;
-  EXPECT_EQ(Explore(two, 60000, "two cells, a crash too").broken, "");
+  EXPECT_EQ(Explore(two, 60000, "two cells, also a crash").broken, "");
   LimitsPlan three;
   three.teams = 2;
   EXPECT_EQ(Explore(three, 40000, "three cells, two teams").broken, "");
 }
 
-// What the exploration can find: each fault is planted around the pure machine.
+// Checks that the exploration finds faults: each one is injected around the ledger.
 TEST(LimitsModel, PlantedFaultsAreFound) {
   LimitsPlan plan;
   plan.cells = 2;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Suspicion among controllers: a network of pure machines in simulated time, one seed a run.
+// Failure detection among controllers: a simulated network of members in simulated time, with one
+// seed per run.
 #include <gtest/gtest.h>
 
 #include <iostream>
@@ -102,7 +103,7 @@
               << all.ToSeconds() << " s, firm " << firm.ToSeconds() << " s\n";
     EXPECT_LT(first, Seconds(3)) << count;
     EXPECT_LT(firm, Seconds(12)) << count;
-    // Started anew, with a later incarnation, it is alive for all.
+    // After a restart with a later incarnation all members consider it alive.
     Settings s;
     s.self = "m-101";
     for (const auto& [name, m] : net.at)
@@ -114,7 +115,7 @@
   }
 }
 
-// Guards against: a frozen or slow member that comes back and holds the others for ended.
+// Guards against a paused member that considers the others failed when it resumes.
 TEST(Members, AFrozenWatcherDoubtsItselfFirst) {
   Net net(3, 3);
   net.Run(Seconds(10));
@@ -126,12 +127,13 @@
   EXPECT_GT(net.at.at("m-100").health_multiplier(), 1);
   EXPECT_EQ(net.at.at("m-100").Find("m-101")->state, State::kAlive);
   net.Run(Seconds(5));
-  EXPECT_EQ(net.Suspecting("m-100"), 0);  // it has refuted
+  EXPECT_EQ(net.Suspecting("m-100"), 0);  // it has refuted the suspicion
   EXPECT_GT(net.at.at("m-100").incarnation(), 1000u);
   EXPECT_EQ(net.Suspecting("m-101") + net.Suspecting("m-102"), 0);
 }
 
-// Cut from one peer it is reached through the other; cut from all it knows that it is itself.
+// A member that is cut off from one peer is reached through the other. A member that is cut off
+// from all peers detects that it is isolated.
 TEST(Members, PartialCutsAreToldApart) {
   Net net(3, 4);
   net.Run(Seconds(5));
--- a/tests/program_test.cpp
+++ b/tests/program_test.cpp
@@ -1,4 +1,4 @@
-// The program itself, on loopback, against the stand-ins.
+// The badgershore program on the loopback interface, with fake services.
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
 #include <netinet/in.h>
@@ -16,8 +16,8 @@
 namespace badgershore {
 namespace {
 
-// A port below the range that outgoing connections take theirs from: one of those could
-// otherwise hold a node's port just when the node starts again. Each is given once.
+// Returns an address with a port below the ephemeral range. An outgoing connection could otherwise
+// hold a controller's port while the controller restarts. Each port is returned only once.
 std::string FreeAddress() {
   static int next = 12000 + static_cast<int>(getpid() * 37 % 18000);
   for (int tries = 0; tries < 1000; ++tries) {
@@ -94,7 +94,7 @@
     co_return co_await client.Request(std::move(method), std::move(path), std::move(body),
                                       Seconds(5));
   }
-  // Asks until the answer has the status and the text, for at most `limit`.
+  // Repeats the request until the response has the status and the text, for at most `limit`.
   io::Task<bool> Until(size_t node, std::string method, std::string path, std::string body,
                        int status, std::string text, Micros limit = Seconds(60)) {
     const Micros end = io::Loop::Now() + limit;
@@ -196,7 +196,8 @@
   EXPECT_NE(help.find("--options"), std::string::npos);
 }
 
-// A process that is back at once finds its predecessor's socket still there: no reason to end.
+// A process that restarts immediately may find the socket of its predecessor still open. It must
+// retry and not exit.
 TEST_F(Program, AnAddressStillInUseIsWaitedFor) {
   NodeProcess& node = nodes_[0];
   sockaddr_in sa{};
--- a/tests/standins.h
+++ b/tests/standins.h
@@ -1,4 +1,4 @@
-// Stand-ins for the state service, the cloud and a worker, by their published protocols.
+// Fakes of the state service, the cloud and an agent that follow the published protocols.
 #pragma once
 
 #include <map>
@@ -57,13 +57,13 @@
   http::Server server_;
 };
 
-// Runs every task for `run`, reports four times a second.
+// An agent that runs every task for `run` and sends four heartbeats a second.
 class Worker {
  public:
   Worker(io::Loop* loop, std::string name, std::vector<std::string> controllers, Micros run);
   void Start() { io::Spawn(Report()); }
   int started = 0;
-  bool twice = false;  // the same task was started while it was here
+  bool twice = false;  // a task was started while another attempt of it was running
 
  private:
   struct Running {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -64,7 +64,7 @@
   }
 }
 
-// Only what may be null may be absent: a job that lacks anything else is not to be accepted.
+// Only fields that may be null may be absent; a job without any other field must be rejected.
 TEST(Submissions, RefusesAnyThatLacksAField) {
   rapidjson::Document whole;
   ASSERT_TRUE(ParseObject(kJob, &whole));
@@ -89,7 +89,7 @@
   EXPECT_EQ(taken, (std::vector<std::string>{"builds", "yard", "dueS", "later"}));
 }
 
-// What was accepted by an earlier version may lack what is asked for now.
+// Jobs that an earlier version accepted may lack fields that are required now.
 TEST(Records, OlderJobsStillLoad) {
   rapidjson::Document doc;
   ASSERT_TRUE(ParseObject(R"({"id":"job-1","lane":"l","team":"t","shape":0,"rank":2,"tasks":3,
@@ -235,10 +235,10 @@
   EXPECT_EQ(back->job_statuses[0].running, 4);
   EXPECT_TRUE(back->receives_heartbeats);
   EXPECT_EQ(back->cancelling, std::vector<std::string>{"job-9"});
-  // Notes of the versions before are good still: one ended with the jobs, one with who hears
-  // workers.
+  // Statuses of earlier versions are still accepted: the first version ended with the jobs, the
+  // second with the flag receives_heartbeats.
   EXPECT_EQ(back->cancelled, std::vector<std::string>{"job-8"});
-  const size_t calls_off = 2 * (8 + 8 + 5);  // twice: how many, how long, and the name
+  const size_t calls_off = 2 * (8 + 8 + 5);  // two lists: count, length and name
   const auto first =
       peer::DecodePeerStatus(std::string_view(frame).substr(4, head->body_size - calls_off - 1));
   ASSERT_TRUE(first);
