--- a/src/adapters/controller_server.cpp
+++ b/src/adapters/controller_server.cpp
@@ -185,7 +185,7 @@
 }
 
 io::Task<void> ControllerServer::SendCommandRequest(CommandRequest request) {
-  ++metrics_.direct_calls;
+  ++metrics_.command_requests;
   const RequestId id = request.id;
   http::Client client(loop_, request.endpoint, 0, kAgentLimits);
   std::string body = wire::FormatDirect(request);
@@ -221,7 +221,7 @@
   metrics_.state = state_.traffic();
   std::optional<LeaderGauges> leader;
   if (core_.leader()) leader = core_.leader()->Gauges(io::Loop::Now());
-  return {200, metrics_.Text(leader, loop_->TakeLongestTurn()), 0};
+  return {200, metrics_.Format(leader, loop_->TakeLongestTurn()), 0};
 }
 
 io::Task<http::ServerAnswer> ControllerServer::HandleJobRequest(http::Message request,
@@ -259,8 +259,8 @@
 io::Task<http::ServerAnswer> ControllerServer::HandleHeartbeat(http::Message request) {
   const std::optional<Heartbeat> heartbeat = wire::ParseReport(request.body);
   if (!heartbeat) co_return ErrorResponse(400, "malformed report");
-  ++metrics_.reports;
-  metrics_.report_bytes += request.body.size();
+  ++metrics_.heartbeats;
+  metrics_.heartbeat_bytes += request.body.size();
   const RequestId request_id = ++last_request_id_;
   io::Slot<HeartbeatResponse> slot(loop_);
   pending_heartbeats_[request_id] = &slot;
@@ -272,7 +272,7 @@
   if (!response) co_return ErrorResponse(503, "no answer in time");
   if (io::Loop::Now() >= response->valid_until) co_return ErrorResponse(503, "the lease has ended");
   std::string body = wire::FormatCheckinAnswer(*response);
-  metrics_.report_answer_bytes += body.size();
+  metrics_.heartbeat_response_bytes += body.size();
   co_return http::ServerAnswer{response->status, std::move(body), 0};
 }
 
--- a/src/adapters/metrics.cpp
+++ b/src/adapters/metrics.cpp
@@ -32,14 +32,14 @@
 
 }  // namespace
 
-std::string Metrics::Text(const std::optional<LeaderGauges>& leader, Micros longest_turn) const {
+std::string Metrics::Format(const std::optional<LeaderGauges>& leader, Micros longest_turn) const {
   std::string out;
   AddMetric("badgershore_leader", "gauge", leader ? 1 : 0, &out);
   if (leader) AddLeaderMetrics(*leader, &out);
-  AddCounter("badgershore_reports_total", reports, &out);
-  AddCounter("badgershore_report_bytes_total", report_bytes, &out);
-  AddCounter("badgershore_report_answer_bytes_total", report_answer_bytes, &out);
-  AddCounter("badgershore_direct_calls_total", direct_calls, &out);
+  AddCounter("badgershore_reports_total", heartbeats, &out);
+  AddCounter("badgershore_report_bytes_total", heartbeat_bytes, &out);
+  AddCounter("badgershore_report_answer_bytes_total", heartbeat_response_bytes, &out);
+  AddCounter("badgershore_direct_calls_total", command_requests, &out);
   AddCounter("badgershore_user_requests_total", user_requests, &out);
   AddCounter("badgershore_cloud_calls_total", cloud_calls, &out);
   AddCounter("badgershore_state_requests_total", state.requests, &out);
--- a/src/adapters/metrics.h
+++ b/src/adapters/metrics.h
@@ -14,9 +14,9 @@
 namespace badgershore::adapters {
 
 struct Metrics {
-  uint64_t reports = 0;  // valid agent heartbeats received, whatever the response
-  uint64_t report_bytes = 0, report_answer_bytes = 0;  // bodies only
-  uint64_t direct_calls = 0;
+  uint64_t heartbeats = 0;  // valid agent heartbeats received, whatever the response
+  uint64_t heartbeat_bytes = 0, heartbeat_response_bytes = 0;  // bodies only
+  uint64_t command_requests = 0;
   uint64_t user_requests = 0;
   uint64_t cloud_calls = 0;
   http::Traffic state;                   // requests to the state service, including watches
@@ -24,7 +24,7 @@
 
   // Formats the counters, the gauges of the leader (if this controller leads) and the loop's
   // longest turn.
-  std::string Text(const std::optional<LeaderGauges>& leader, Micros longest_turn) const;
+  std::string Format(const std::optional<LeaderGauges>& leader, Micros longest_turn) const;
 };
 
 }  // namespace badgershore::adapters
--- a/src/peer/peer_transport.cpp
+++ b/src/peer/peer_transport.cpp
@@ -17,7 +17,7 @@
     : loop_(loop), listen_address_(settings.peer_listen), callbacks_(std::move(callbacks)) {
   for (const auto& member : settings.members) {
     if (member.name == settings.member) continue;
-    auto peer = std::make_unique<Outgoing>();
+    auto peer = std::make_unique<OutgoingConnection>();
     peer->name = member.name;
     peer->address = member.addr;
     peers_.push_back(std::move(peer));
@@ -32,7 +32,7 @@
   return {};
 }
 
-void PeerTransport::StartSending(Outgoing* peer) {
+void PeerTransport::StartSending(OutgoingConnection* peer) {
   if (!peer->sending) io::Spawn(SendPending(peer));
 }
 
@@ -61,7 +61,7 @@
   for (const std::string& address : delivery.addresses) {
     auto [it, added] = cell_controllers_.try_emplace(address);
     if (added) {
-      it->second = std::make_unique<Outgoing>();
+      it->second = std::make_unique<OutgoingConnection>();
       it->second->address = address;
     }
     it->second->latest_frame = frame;
@@ -69,7 +69,7 @@
   }
 }
 
-io::Task<void> PeerTransport::SendPending(Outgoing* peer) {
+io::Task<void> PeerTransport::SendPending(OutgoingConnection* peer) {
   peer->sending = true;
   while (!peer->latest_frame.empty() || !peer->membership_frames.empty()) {
     const std::string frames =
--- a/src/peer/peer_transport.h
+++ b/src/peer/peer_transport.h
@@ -37,7 +37,7 @@
   void Send(const CellDelivery& delivery);
 
  private:
-  struct Outgoing {
+  struct OutgoingConnection {
     std::string name;
     std::string address;
     std::string latest_frame;       // replaces an older frame that was not sent
@@ -45,8 +45,8 @@
     bool sending = false;
     io::Socket socket;
   };
-  void StartSending(Outgoing* peer);
-  io::Task<void> SendPending(Outgoing* peer);
+  void StartSending(OutgoingConnection* peer);
+  io::Task<void> SendPending(OutgoingConnection* peer);
   io::Task<void> Accept();
   io::Task<void> Receive(io::Socket socket);
   // Handles and removes all complete frames. Returns false if the stream is malformed.
@@ -56,8 +56,8 @@
   io::Loop* loop_;
   std::string listen_address_;
   Callbacks callbacks_;
-  std::vector<std::unique_ptr<Outgoing>> peers_;
-  std::map<std::string, std::unique_ptr<Outgoing>> cell_controllers_;  // by address
+  std::vector<std::unique_ptr<OutgoingConnection>> peers_;
+  std::map<std::string, std::unique_ptr<OutgoingConnection>> cell_controllers_;  // by address
   io::Socket listener_;
   int receivers_ = 0;
 };
