--- a/src/agent/core/agent.h
+++ b/src/agent/core/agent.h
@@ -1,6 +1,7 @@
-// The agent of a machine as a state machine: the agent's side of PROTOCOL "Workers", "Gangs" and
-// "Controller nodes -> workers". It uses no clock, sockets or processes. It returns actions (send a
-// heartbeat, fetch an image, start or stop a task), and its owner reports their results.
+// The agent on a machine, as a state machine: the agent's side of "Workers", "Gangs" and
+// "Controller nodes -> workers" in PROTOCOL. It uses no clock, sockets or processes. It returns
+// actions (send a heartbeat, fetch an image, start or stop a task), and its owner passes their
+// results back.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +26,7 @@
 // An action that the machine has to execute. Actions are executed in order.
 struct Action {
   enum class Kind {
-    kReport,    // send `report` to `controller`; only one is in flight at a time
+    kReport,    // send a heartbeat to `controller`; only one is in flight at a time
     kDescribe,  // fetch the specification of job `text`
     kFetch,     // fetch image `text`, which has `gb` gigabytes
     kGiveUp,    // cancel the fetch of image `text`: no task waits for it any more
@@ -52,8 +53,8 @@
 
   // Handles the response to a heartbeat. Status 0 means no response in time or no connection.
   void OnAnswer(Micros now, uint64_t heartbeat_id, const HeartbeatResponse& response);
-  // Handles POST /do and returns the status, 200 or 409. The body of the response is Status()
-  // afterwards.
+  // Handles POST /do and returns the status of the response, 200 or 409. The body of the response
+  // is the heartbeat that the next function returns.
   int OnDirect(Micros now, uint64_t fencing_token, uint64_t epoch,
                const std::vector<Command>& commands);
   Heartbeat Status();  // takes a new sequence number
@@ -61,8 +62,8 @@
   void OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec);
   void OnImage(Micros now, const std::string& image);
   void OnGangComplete(Micros now, const TaskKey& task);  // the task stops waiting and runs
-  // A task has exited by itself or after kSave. Ignored for a killed task, whose reason is already
-  // recorded.
+  // A task has exited by itself or after writing a requested checkpoint. Ignored for a killed task,
+  // whose reason is already recorded.
   void OnExit(Micros now, const TaskKey& task, ExitReason exit_reason, bool checkpointed);
   void SetNotice(Micros now, std::optional<Micros> remaining);
 
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -17,7 +17,8 @@
 };
 StoreCall ParseStoreCall(std::string_view method, std::string_view target, std::string_view body);
 
-// Formats the response to `request`. Status 0 means that no response must be sent.
+// The HTTP response to a request of the store. The type of the request determines the body. Status
+// 0 means that no response is sent.
 struct StoreAnswer {
   int status = 503;
   std::string body;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -20,7 +20,7 @@
 
 constexpr int64_t kTotal = 900000;  // thousandths of a CPU
 
-// Cells whose records are always written and whose messages arrive, except those of `isolated` cells.
+// Cells whose records are always written. Messages arrive except from and to `isolated` cells.
 struct Cells {
   explicit Cells(std::vector<limits::Cell> cells) {
     settings.cells = std::move(cells);
