--- a/src/adapters/state_client.cpp
+++ b/src/adapters/state_client.cpp
@@ -9,16 +9,16 @@
 using Kind = StateRequest::Kind;
 using Outcome = StateResponse::Outcome;
 
-// A list or watch answer may be large, but a controller's memory is not.
+// Responses to list and watch requests can be large, but a controller's memory is limited.
 constexpr http::Limits kLimits{8 * 1024, 16 * 1024, 4 * 1024 * 1024};
 
 constexpr Micros kTokenTimeout = Seconds(1);
 constexpr int kMaxWaitingForToken = 200;
-// The service counts as down after so many unanswered requests and so long.
+// The service is considered down after this many requests without a response and this long.
 constexpr int kDownAfterRequests = 3;
 constexpr Micros kDownAfter = Seconds(2);
 
-StateResponse Refused() {
+StateResponse RefusedResponse() {
   StateResponse response;
   response.outcome = Outcome::kRefused;
   return response;
@@ -28,11 +28,11 @@
 
 StateClient::StateClient(io::Loop* loop, const PlatformSettings& settings)
     : loop_(loop),
-      // An equal share for each controller, and some left over for bursts elsewhere.
+      // An equal share for each controller, with some headroom for bursts of other clients.
       rate_(settings.state_rps * 0.9 / static_cast<double>(settings.members.size() + 1)),
       tokens_(rate_),
-      tokens_at_(io::Loop::Now()),
-      answered_at_(io::Loop::Now()),
+      tokens_updated_at_(io::Loop::Now()),
+      last_response_at_(io::Loop::Now()),
       requests_(loop, settings.state_addr, 8, kLimits),
       watches_(loop, settings.state_addr, 3, kLimits) {}
 
@@ -51,8 +51,8 @@
   ++waiting_for_token_;
   for (;;) {
     const Micros now = io::Loop::Now();
-    tokens_ = std::min(rate_, tokens_ + rate_ * (now - tokens_at_).ToSeconds());
-    tokens_at_ = now;
+    tokens_ = std::min(rate_, tokens_ + rate_ * (now - tokens_updated_at_).ToSeconds());
+    tokens_updated_at_ = now;
     if (tokens_ >= 1) {
       tokens_ -= 1;
       granted = true;
@@ -71,28 +71,29 @@
   const bool watch = request.kind == Kind::kWatch;
   if (!lease && !watch) {
     const bool granted = co_await WaitForToken();
-    if (!granted) co_return Refused();
+    if (!granted) co_return RefusedResponse();
   }
-  const bool down =
-      unanswered_ >= kDownAfterRequests && io::Loop::Now() - answered_at_ > kDownAfter;
-  if (down && !lease && !watch && in_flight_ > 0) co_return Refused();
+  const bool down = requests_without_response_ >= kDownAfterRequests &&
+                    io::Loop::Now() - last_response_at_ > kDownAfter;
+  if (down && !lease && !watch && in_flight_ > 0) co_return RefusedResponse();
   wire::Call call = wire::FormatStateCall(request);
   http::Client& client = watch ? watches_ : requests_;
-  // A waiting watch does not show whether requests would be answered. Were it counted, a controller
-  // would refuse its users for as long as an old watch hangs after a network cut.
+  // A waiting watch does not show whether other requests would get a response. If it were counted,
+  // a controller would refuse user requests for as long as an old watch hangs after a network
+  // partition.
   if (!watch) ++in_flight_;
   http::ClientAnswer answer = co_await client.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
   if (!watch) --in_flight_;
   StateResponse response;
   if (!answer.answered()) {
-    if (!watch) ++unanswered_;
+    if (!watch) ++requests_without_response_;
     response.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kRefused
                                                                                : Outcome::kUnknown;
     co_return response;
   }
-  unanswered_ = 0;
-  answered_at_ = io::Loop::Now();
+  requests_without_response_ = 0;
+  last_response_at_ = io::Loop::Now();
   co_return wire::ParseStateAnswer(request, answer.status, answer.body);
 }
 
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -8,12 +8,12 @@
 
 constexpr int kMaxMissedProbes = 7;
 constexpr int kIsolatedIntervals = 4;
-constexpr int kPausedIntervals = 2;  // between two ticks: this process has stood still
-// Intervals until a suspicion is confirmed: from the most, where one member alone suspects, to the
-// least, where all do that could confirm it.
+constexpr int kPausedIntervals = 2;  // more than this between two ticks: the process was paused
+// Probe intervals until a suspicion is confirmed: the maximum if only one member suspects, the
+// minimum if all members do that could confirm it.
 constexpr double kMaxConfirmIntervals = 6;
 constexpr double kMinConfirmIntervals = 2;
-constexpr int kGossipFactor = 3;  // times log2 of the members: how often an update is sent
+constexpr int kGossipFactor = 3;  // an update is sent this many times log2 of the member count
 
 }  // namespace
 
@@ -35,17 +35,18 @@
 }
 
 bool Members::IsIsolated(Micros now) const {
-  return ticked_at_.count >= 0 && !probe_order_.empty() &&
-         now - answered_at_ >
+  return last_tick_at_.count >= 0 && !probe_order_.empty() &&
+         now - last_response_at_ >
              settings_.probe_interval.Scaled(kIsolatedIntervals * health_multiplier());
 }
 
 bool Members::IsSuspicionConfirmed(Micros now, const std::string& member) const {
   const View* view = Find(member);
   if (!view || view->state != State::kSuspect) return false;
-  const double possible = static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
-  const auto suspecting = static_cast<double>(view->suspected_by.size());
-  const double share = std::min(1.0, std::log(suspecting) / std::log(possible + 1));
+  const double possible_suspecters =
+      static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
+  const auto suspecters = static_cast<double>(view->suspected_by.size());
+  const double share = std::min(1.0, std::log(suspecters) / std::log(possible_suspecters + 1));
   const double intervals =
       kMaxConfirmIntervals - (kMaxConfirmIntervals - kMinConfirmIntervals) * std::max(0.0, share);
   return now - view->state_since >= ScaledByHealth(settings_.probe_interval).Scaled(intervals);
@@ -66,7 +67,7 @@
 }
 
 void Members::AddGossip(Message* message) {
-  // A suspected member is told first, so that it can refute.
+  // A suspected member gets the suspicion of it first, so that it can refute it.
   auto view = views_.find(message->to);
   if (view != views_.end() && view->second.state == State::kSuspect) {
     for (const std::string& by : view->second.suspected_by) {
@@ -105,7 +106,7 @@
   outgoing_.push_back(std::move(message));
 }
 
-// An update of this process, or of an earlier incarnation of it.
+// Handles an update about this process or an earlier incarnation of it.
 void Members::Refute(const Update& update) {
   if (update.state == State::kAlive || update.incarnation < incarnation_ || left_) return;
   incarnation_ = update.incarnation + 1;
@@ -123,7 +124,7 @@
     view.state = State::kAlive;
     view.suspected_by.clear();
   } else if (view.state == State::kLeft || update.state == State::kAlive) {
-    return;  // nothing new of this incarnation
+    return;  // nothing new about this incarnation
   }
   if (update.state == State::kLeft) {
     view.state = State::kLeft;
@@ -151,7 +152,7 @@
   auto it = views_.find(message.from);
   if (it == views_.end() || message.to != settings_.self) return;
   View& view = it->second;
-  // Of an ended process, or from before a refutation.
+  // Sent by an ended process, or before a refutation.
   if (message.incarnation < view.incarnation) return;
   if (message.incarnation > view.incarnation) {
     Apply(now, {message.from, State::kAlive, message.incarnation, ""});
@@ -168,10 +169,10 @@
                                           now + ScaledByHealth(settings_.probe_timeout)};
       return Send(Message::Kind::kPing, message.target, last_number_, "");
     case Message::Kind::kAck:
-      answered_at_ = now;
+      last_response_at_ = now;
       return OnAck(message);
     case Message::Kind::kNack:
-      answered_at_ = now;
+      last_response_at_ = now;
       if (!probe_.done && message.number == probe_.number) ++probe_.nacks;
       return;
   }
@@ -202,8 +203,8 @@
   }
 }
 
-// The interval is over without an answer. The target is suspected if others could not reach it
-// either; where not even those answered, the fault may be this member's.
+// The interval is over. A target that did not respond is suspected if other members could not reach
+// it either. If those did not respond either, the fault may be this member's own.
 void Members::FinishProbe(Micros now) {
   if (probe_.done) return;
   probe_.done = true;
@@ -245,28 +246,28 @@
   }
 }
 
-// What was not answered while this process stood still proves nothing of the others.
+// Responses missing after a process pause prove nothing about the other members.
 void Members::RecoverFromPause(Micros now) {
   probe_.done = true;
   indirect_probes_.clear();
   missed_probes_ = std::min(kMaxMissedProbes, missed_probes_ + 2);
-  answered_at_ = now;
+  last_response_at_ = now;
   next_probe_at_ = now;
 }
 
 void Members::Tick(Micros now) {
-  const bool first = ticked_at_.count < 0;
-  if (first) answered_at_ = now;
-  if (!first && now - ticked_at_ > settings_.probe_interval.Scaled(kPausedIntervals)) {
+  const bool first = last_tick_at_.count < 0;
+  if (first) last_response_at_ = now;
+  if (!first && now - last_tick_at_ > settings_.probe_interval.Scaled(kPausedIntervals)) {
     RecoverFromPause(now);
   }
-  ticked_at_ = now;
+  last_tick_at_ = now;
   if (left_) return;
   ExpireIndirectProbes(now);
   SendIndirectProbes(now);
   if (now < next_probe_at_) return;
   FinishProbe(now);
-  // With poor local health probes are rarer: their outcome says less.
+  // With poor local health, probes are sent less often because their outcome is less reliable.
   next_probe_at_ = now + ScaledByHealth(settings_.probe_interval);
   StartProbe(now);
 }
--- a/src/peer/peer_transport.cpp
+++ b/src/peer/peer_transport.cpp
@@ -9,7 +9,7 @@
 constexpr int kMaxReceivers = 96;                  // controllers of this cell and leaders of others
 constexpr Micros kConnectTimeout = Seconds(1);
 constexpr Micros kWriteTimeout = Seconds(2);
-constexpr Micros kReadTimeout = Seconds(20);  // statuses come twice a second
+constexpr Micros kReadTimeout = Seconds(20);  // peers send their status twice a second
 
 }  // namespace
 
@@ -17,7 +17,7 @@
     : loop_(loop), listen_address_(settings.peer_listen), callbacks_(std::move(callbacks)) {
   for (const auto& member : settings.members) {
     if (member.name == settings.member) continue;
-    auto peer = std::make_unique<Outgoing>();
+    auto peer = std::make_unique<OutgoingConnection>();
     peer->name = member.name;
     peer->address = member.addr;
     peers_.push_back(std::move(peer));
@@ -32,7 +32,7 @@
   return {};
 }
 
-void PeerTransport::StartSending(Outgoing* peer) {
+void PeerTransport::StartSending(OutgoingConnection* peer) {
   if (!peer->sending) io::Spawn(SendPending(peer));
 }
 
@@ -48,7 +48,7 @@
 void PeerTransport::Send(const membership::Message& message) {
   for (auto& peer : peers_) {
     if (peer->name != message.to) continue;
-    // To a peer that can't be reached they are out of date.
+    // The peer is unreachable and the pending messages are out of date.
     if (peer->membership_frames.size() > kMaxMembershipBytes) peer->membership_frames.clear();
     peer->membership_frames += EncodeFrame(message);
     StartSending(peer.get());
@@ -61,7 +61,7 @@
   for (const std::string& address : delivery.addresses) {
     auto [it, added] = cell_controllers_.try_emplace(address);
     if (added) {
-      it->second = std::make_unique<Outgoing>();
+      it->second = std::make_unique<OutgoingConnection>();
       it->second->address = address;
     }
     it->second->latest_frame = frame;
@@ -69,7 +69,7 @@
   }
 }
 
-io::Task<void> PeerTransport::SendPending(Outgoing* peer) {
+io::Task<void> PeerTransport::SendPending(OutgoingConnection* peer) {
   peer->sending = true;
   while (!peer->latest_frame.empty() || !peer->membership_frames.empty()) {
     const std::string frames =
