--- a/bench/limits_bench.cpp
+++ b/bench/limits_bench.cpp
@@ -1,6 +1,7 @@
-// What sharing limits among cells costs: notes and durable writes a second of each cell, their
-// sizes, and how soon demand in one cell has nearly all. Pure machines, notes every half second,
-// records written at once; no processes or network.
+// Measures the cost of sharing team limits among cells: messages and durable writes per second of
+// each cell, their sizes, and the time until a cell with all the demand holds nearly the whole
+// limit. Runs the quota ledgers alone, without processes or network: messages are exchanged every
+// half second and records are written immediately.
 #include <chrono>
 #include <cstdio>
 #include <random>
@@ -17,7 +18,7 @@
   double notes = 0, note_bytes = 0, writes = 0, record_bytes = 0, seconds = 0, spent_us = 0;
 };
 
-// `demand`: what each cell's three teams have and want at a time.
+// `demand` returns the demand of a team in a cell at a given time.
 template <typename Need>
 Sum Run(int cells, int seconds, Need demand, double* nearly_all_s) {
   limits::Settings settings;
@@ -91,7 +92,7 @@
     };
     const Sum in_one = Run(cells, 120, one, &after);
     show("in one", in_one, after);
-    // Each cell's demand of each team is drawn anew every ten seconds.
+    // The demand of each team in each cell is drawn again every ten seconds.
     std::map<std::pair<size_t, std::string>, limits::QuotaDemand> drawn;
     const auto changing = [&](size_t i, int64_t now, const std::string& team,
                               const limits::QuotaLedger& e) {
--- a/tests/http_test.cpp
+++ b/tests/http_test.cpp
@@ -11,14 +11,14 @@
     "POST /work HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\n"
     "content-length: 7\r\n\r\n{\"a\":1}";
 
-TEST(HttpParser, TakesAMessageSplitAnywhere) {
+TEST(HttpParser, ParsesMessageSplitAnywhere) {
   const std::string wire = kRequest;
   for (size_t cut = 0; cut <= wire.size(); ++cut) {
     Parser p(Parser::Kind::kRequest);
     size_t used = p.Feed(wire.substr(0, cut));
     EXPECT_EQ(used, cut);
     p.Feed(wire.substr(cut));
-    ASSERT_TRUE(p.done()) << "cut at " << cut;
+    ASSERT_TRUE(p.done()) << "split at byte " << cut;
     const Message m = p.Take();
     EXPECT_EQ(m.method, "POST");
     EXPECT_EQ(m.target, "/work");
@@ -26,7 +26,7 @@
   }
 }
 
-TEST(HttpParser, LeavesTheNextMessageAlone) {
+TEST(HttpParser, DoesNotConsumeNextMessage) {
   const std::string wire = std::string(kRequest) + "GET /healthz HTTP/1.1\r\n\r\n";
   Parser p(Parser::Kind::kRequest);
   const size_t used = p.Feed(wire);
@@ -38,7 +38,7 @@
   EXPECT_EQ(p.Take().target, "/healthz");
 }
 
-TEST(HttpParser, RefusesBadFraming) {
+TEST(HttpParser, RejectsBadFraming) {
   for (const char* wire : {
            "GET\r\n\r\n",
            "GET /x HTTP/2.0\r\n\r\n",
@@ -58,8 +58,9 @@
   }
 }
 
-// Guards against: a NUL or another control byte that ends the line for one reader and not the next.
-TEST(HttpParser, RefusesControlBytesInTheHead) {
+// Guards against request smuggling: a NUL or another control byte that ends the line for one parser
+// but not for another.
+TEST(HttpParser, RejectsControlBytesInHead) {
   for (const char byte : {'\0', '\1', '\r', '\x1b', '\x7f'}) {
     for (const std::string& head : {std::string("GET /x") + byte + "y HTTP/1.1\r\n",
                                     std::string("GET /x HTTP/1.1\r\na: b") + byte + "c\r\n"}) {
@@ -73,7 +74,7 @@
   EXPECT_TRUE(tab.done());
 }
 
-TEST(HttpParser, BoundsLineHeadersAndBody) {
+TEST(HttpParser, LimitsLineHeadersAndBody) {
   Parser line(Parser::Kind::kRequest);
   line.Feed("GET /" + std::string(10000, 'x'));
   EXPECT_TRUE(line.too_large());
@@ -87,7 +88,7 @@
   EXPECT_TRUE(body.too_large());
 }
 
-TEST(HttpParser, ReadsChunkedAnswers) {
+TEST(HttpParser, ParsesChunkedResponses) {
   Parser p(Parser::Kind::kResponse);
   p.Feed(
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2;x=y\r\nde\r\n0\r\n\r\n");
@@ -97,7 +98,7 @@
   EXPECT_EQ(m.body, "abcde");
 }
 
-TEST(HttpParser, SurvivesNoise) {
+TEST(HttpParser, SurvivesRandomCorruption) {
   std::mt19937 random(7);
   const std::string base = kRequest;
   for (int round = 0; round < 3000; ++round) {
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,4 +1,5 @@
-// The scale run's pure parts: plans, what is read from a history, slopes.
+// Tests of the parts of a scale run without processes: plans, start times, reports, slopes and
+// capacity tables.
 #include <gtest/gtest.h>
 
 #include "config/config.h"
@@ -52,7 +53,7 @@
   return e;
 }
 
-TEST(Plan, ArrivalsAreThoseThatWereAskedFor) {
+TEST(Plan, ScenarioArrivalsMatchPlan) {
   const Plan plan = ParsePlan(kPlan, "plan.yaml");
   const config::Scenario scenario = ToScenario(plan);
   EXPECT_EQ(scenario.site.teams.size(), 3u);
@@ -61,18 +62,18 @@
   double peak_tasks = 0, urgent_jobs = 0;
   for (const config::JobClass& c : scenario.classes) {
     const int jobs = static_cast<int>(c.per_minute * (c.until - c.from).ToSeconds() / 60);
-    EXPECT_GT(jobs, 0) << "a class without a job";
+    EXPECT_GT(jobs, 0) << "a job class has no jobs";
     if (c.spec.job_class == kUrgentLane) urgent_jobs += jobs;
     if (c.spec.job_class == kBatchLane && c.until == Seconds(19))
       peak_tasks += jobs * c.least_tasks;
   }
-  EXPECT_EQ(peak_tasks, 200);  // 20 a second for 10 s
-  EXPECT_EQ(urgent_jobs, 19);  // one a second for 19 s
+  EXPECT_EQ(peak_tasks, 200);  // 20 per second for 10 s
+  EXPECT_EQ(urgent_jobs, 19);  // one per second for 19 s
   ASSERT_EQ(scenario.troubles.size(), 2u);
   EXPECT_EQ(scenario.troubles[0].at, Seconds(14));  // the middle of the peak
 }
 
-TEST(Plan, ErrorsNameTheFieldAndWhatWasExpected) {
+TEST(Plan, ErrorsNameFieldAndExpectedValue) {
   EXPECT_EQ(ErrorOf(kPlan), "");
   EXPECT_NE(ErrorOf(std::string(kPlan) + "teem: 3\n").find("teem"), std::string::npos);
   std::string text = kPlan;
@@ -87,11 +88,11 @@
             std::vector<int>{64});
 }
 
-TEST(StartTimes, WaitsEndWithTheFirstAndTheLastTask) {
+TEST(StartTimes, MeasuresWaitForFirstAndLastTask) {
   StartTimes times;
   times.See(Submitted(10, "job-1", "batch", 2));
   times.See(At(12, Event::Kind::kTaskOn, "job-1", 0));
-  times.See(At(13, Event::Kind::kTaskOn, "job-1", 0));  // anew: it is not the second task
+  times.See(At(13, Event::Kind::kTaskOn, "job-1", 0));  // a restart of the first task
   EXPECT_EQ(times.lanes().at("batch").started_whole, 0);
   times.See(At(18, Event::Kind::kTaskOn, "job-1", 1));
   times.See(At(19, Event::Kind::kTaskOff, "job-1", 1));
@@ -106,14 +107,15 @@
   EXPECT_NEAR(times.busiest_mean(2), 1, 1e-9);  // seconds 2 and 3
 }
 
-TEST(Report, APhaseIsTheDifferenceOfTwoSamples) {
+TEST(Report, PhaseIsDifferenceOfTwoSamples) {
   Sample from, to;
   from.phase = "peak";
   to.at_s = 10;
   from.processes["node-0"] = {5, 20, 25};
   to.processes["node-0"] = {9, 30, 35};
   from.processes["node-1"] = {8, 10, 10};
-  to.processes["node-1"] = {1, 12, 12};  // was started anew meanwhile
+  to.processes["node-1"] = {1, 12,
+                            12};  // restarted between the samples: its counter began again at 0
   to.leader = "node-0";
   from.leader_counters["badgershore_reports_total"] = 100;
   to.leader_counters["badgershore_reports_total"] = 300;
@@ -129,7 +131,7 @@
   EXPECT_NEAR(phase.worker_bytes_per_s, 200, 1e-9);
 }
 
-TEST(Report, IsCleanOnlyWithoutFindings) {
+TEST(Report, IsCleanOnlyWithoutViolations) {
   Report report;
   EXPECT_TRUE(report.clean());
   report.open = 1;
@@ -162,7 +164,7 @@
   return rows;
 }
 
-TEST(Slopes, FindWhatTheMeasurementsWereMadeOf) {
+TEST(Slopes, FitRecoversKnownCoefficients) {
   const Fit fit = FitAll(RowsOf(4e-5, 2e-4)).at("leader cores");
   EXPECT_NEAR(fit.base, 0.01, 1e-6);
   EXPECT_NEAR(fit.slopes[0], 4e-5, 1e-9);
@@ -174,14 +176,14 @@
   EXPECT_NEAR(fit.At(planned), 0.01 + 0.08 + 0.32, 1e-6);
 }
 
-TEST(Slopes, SayWhereACostDoesNotGrowInStep) {
+TEST(Slopes, ReportNonlinearCosts) {
   const Fit straight = FitAll(RowsOf(4e-5, 2e-4)).at("leader cores");
   const Fit bent = FitAll(RowsOf(4e-5, 2e-4, 1e-7)).at("leader cores");
   EXPECT_NEAR(straight.bend.at("workers"), 0, 1e-6);
   EXPECT_GT(bent.bend.at("workers"), 0.02);
 }
 
-TEST(Slopes, RowsOutliveTheirFile) {
+TEST(Slopes, RowsRoundTripThroughJson) {
   const std::vector<Row> rows = RowsOf(1, 2);
   std::string text;
   for (const Row& row : rows) text += ToJsonLine(row);
@@ -195,7 +197,7 @@
   EXPECT_THROW(FitAll({rows.begin(), rows.begin() + 7}), config::Error);
 }
 
-TEST(Capacity, TablesGoBetweenTheMarksAndNowhereElse) {
+TEST(Capacity, TablesReplaceOnlyTextBetweenMarkers) {
   const std::string begin = "<!-- badgershore-scale capacity: begin -->\n";
   const std::string end = "<!-- badgershore-scale capacity: end -->\n";
   EXPECT_EQ(WithTables("a\n" + begin + "old\n" + end + "z\n", "new\n"),
@@ -203,7 +205,7 @@
   EXPECT_THROW(WithTables("a\n", "new\n"), config::Error);
 }
 
-TEST(Capacity, SharesOfAWorkersBudgetAreItsOwn) {
+TEST(Capacity, ReportsShareOfWorkerBudget) {
   std::vector<Row> rows = RowsOf(0, 0);
   for (Row& row : rows) {
     row.measures = {{"report bytes/s", row.load.workers * 700},
--- a/tests/site_test.cpp
+++ b/tests/site_test.cpp
@@ -1,4 +1,4 @@
-// The load balancer's and the supervisor's decisions.
+// Tests of the load balancer, the supervisor and the choice of free ports.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -11,29 +11,29 @@
 namespace badgershore::site {
 namespace {
 
-TEST(Balance, FollowsProbesAsWritten) {
+TEST(Balance, HealthFollowsProbeRules) {
   Balancer b(2);
   Micros now = Seconds(100);
   EXPECT_TRUE(b.Order(now, 0).empty());
-  b.OnProbe(now, 0, true);  // one success will do for a node that has never been healthy
+  b.OnProbe(now, 0, true);  // for a node that has never been healthy one success is enough
   EXPECT_TRUE(b.healthy(0));
   b.OnProbe(now, 0, false);
   EXPECT_TRUE(b.healthy(0));
-  b.OnProbe(now, 0, false);  // two in a row
+  b.OnProbe(now, 0, false);  // two failures in a row
   EXPECT_FALSE(b.healthy(0));
   for (int i = 0; i < 2; ++i) b.OnProbe(now += Seconds(1), 0, true);
-  EXPECT_FALSE(b.healthy(0));  // not before 3 s
+  EXPECT_FALSE(b.healthy(0));  // not until 3 s after its removal
   b.OnProbe(now += Seconds(1), 0, true);
   EXPECT_TRUE(b.healthy(0));
   for (const bool good : {false, true, false, true, false}) b.OnProbe(now += Seconds(1), 0, good);
-  EXPECT_FALSE(b.healthy(0));  // three of the last six; the pause is doubled
+  EXPECT_FALSE(b.healthy(0));  // three failures among the last six probes; the pause is doubled
   for (int i = 0; i < 5; ++i) b.OnProbe(now += Seconds(1), 0, true);
   EXPECT_FALSE(b.healthy(0));
   b.OnProbe(now += Seconds(1), 0, true);
   EXPECT_TRUE(b.healthy(0));
 }
 
-TEST(Balance, PrefersFewConnectionsAndPassesOverWhoRefuses) {
+TEST(Balance, PrefersLeastConnectionsAndSkipsRefusingNodes) {
   Balancer b(4);
   const Micros now = Seconds(100);
   for (size_t i = 0; i < 4; ++i) b.OnProbe(now, i, true);
@@ -48,7 +48,7 @@
 
 using Kind = Supervisor::Action::Kind;
 
-TEST(Supervise, StartsInStagesAndGivesTheUnsteadyMoreTime) {
+TEST(Supervise, StartsInStagesAndBacksOffRestarts) {
   Supervisor s({1, 0});
   Micros now = Seconds(100);
   auto did = s.Tick(now);
@@ -59,7 +59,7 @@
   ASSERT_EQ(did.size(), 1u);
   EXPECT_EQ(did[0].child, 0u);
   Micros pause;
-  for (int i = 0; i < 8; ++i) {  // it ends as soon as it has started
+  for (int i = 0; i < 8; ++i) {  // the child ends as soon as it has started
     s.OnEnded(now, 0);
     const Micros ended = now;
     while (s.Tick(now).empty()) now += Millis(50);
@@ -72,7 +72,7 @@
   EXPECT_EQ(s.Tick(now += Millis(500)).size(), 1u);
 }
 
-TEST(Supervise, EndsLaterStagesFirstAndInsists) {
+TEST(Supervise, StopsLaterStagesFirstAndEscalatesToKill) {
   Supervisor s({0, 1});
   Micros now = Seconds(100);
   s.Tick(now);
@@ -93,10 +93,10 @@
   EXPECT_EQ(did[0].child, 0u);
   s.OnEnded(now, 0);
   EXPECT_TRUE(s.over());
-  EXPECT_TRUE(s.Tick(now += Seconds(60)).empty());  // and nothing is started again
+  EXPECT_TRUE(s.Tick(now += Seconds(60)).empty());  // no child is restarted after Stop
 }
 
-TEST(SiteFreeAddress, IsBelowOutgoingPorts) {
+TEST(SiteFreeAddress, IsBelowEphemeralPorts) {
   std::ifstream in("/proc/sys/net/ipv4/ip_local_port_range");
   int first_outgoing = 32768;
   in >> first_outgoing;
@@ -104,7 +104,7 @@
   for (int i = 0; i < 100; ++i) {
     const std::string address = site::FreeAddress();
     EXPECT_LT(std::atoi(address.c_str() + address.rfind(':') + 1), first_outgoing) << address;
-    EXPECT_TRUE(given.insert(address).second) << address << " twice";
+    EXPECT_TRUE(given.insert(address).second) << address << " was returned twice";
   }
 }
 
