--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -5,17 +5,17 @@
 io::Task<ClientAnswer> Client::Request(std::string method, std::string target, std::string body,
                                        Micros timeout) {
   const Micros deadline = io::Loop::Now() + timeout;
-  const std::string wire = FormatRequest(method, target, addr_, body, keep_ == 0);
+  const std::string request = FormatRequest(method, target, addr_, body, max_idle_ == 0);
   ClientAnswer answer;
   ++traffic_.requests;
   // The server may have closed an idle connection. A GET is idempotent and is retried once on a new
   // connection; other requests are not retried, since the server may have carried them out.
-  for (int round = 0; round < 2; ++round) {
+  for (int attempt = 0; attempt < 2; ++attempt) {
     io::Socket socket;
     bool reused = false;
-    while (!idle_.empty() && round == 0) {
-      Idle idle = std::move(idle_.back());
-      idle_.pop_back();
+    while (!idle_connections_.empty() && attempt == 0) {
+      IdleConnection idle = std::move(idle_connections_.back());
+      idle_connections_.pop_back();
       if (io::Loop::Now() - idle.since > Seconds(20)) continue;
       socket = std::move(idle.socket);
       reused = true;
@@ -27,15 +27,15 @@
       if (!socket.open()) co_return answer;
     }
     answer.outcome = ClientAnswer::Outcome::kUnknown;
-    const bool sent = co_await socket.WriteAll(wire, deadline);
-    traffic_.sent += wire.size();
+    const bool sent = co_await socket.WriteAll(request, deadline);
+    traffic_.sent += request.size();
     Parser parser(Parser::Kind::kResponse, limits_);
-    bool any = false;
+    bool received_any = false;
     while (sent && !parser.done() && !parser.bad()) {
       char buffer[8192];
       const ssize_t n = co_await socket.Read(buffer, sizeof(buffer), deadline);
       if (n <= 0) break;
-      any = true;
+      received_any = true;
       traffic_.received += static_cast<uint64_t>(n);
       parser.Feed(std::string_view(buffer, static_cast<size_t>(n)));
     }
@@ -44,12 +44,12 @@
       answer.outcome = ClientAnswer::Outcome::kAnswered;
       answer.status = message.status;
       answer.body = std::move(message.body);
-      if (!message.close && idle_.size() < keep_) {
-        idle_.push_back(Idle{std::move(socket), io::Loop::Now()});
+      if (!message.close && idle_connections_.size() < max_idle_) {
+        idle_connections_.push_back(IdleConnection{std::move(socket), io::Loop::Now()});
       }
       co_return answer;
     }
-    if (!reused || any || method != "GET" || io::Loop::Now() >= deadline) break;
+    if (!reused || received_any || method != "GET" || io::Loop::Now() >= deadline) break;
   }
   co_return answer;
 }
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -26,23 +26,23 @@
 
 class Client {
  public:
-  Client(io::Loop* loop, std::string addr, size_t keep, Limits limits)
-      : loop_(loop), addr_(std::move(addr)), keep_(keep), limits_(limits) {}
+  Client(io::Loop* loop, std::string addr, size_t max_idle, Limits limits)
+      : loop_(loop), addr_(std::move(addr)), max_idle_(max_idle), limits_(limits) {}
 
   io::Task<ClientAnswer> Request(std::string method, std::string target, std::string body,
                                  Micros timeout);
   const Traffic& traffic() const { return traffic_; }
 
  private:
-  struct Idle {
+  struct IdleConnection {
     io::Socket socket;
     Micros since;
   };
   io::Loop* loop_;
   std::string addr_;
-  size_t keep_;
+  size_t max_idle_;
   Limits limits_;
-  std::vector<Idle> idle_;
+  std::vector<IdleConnection> idle_connections_;
   Traffic traffic_;
 };
 
--- a/src/http/message.cpp
+++ b/src/http/message.cpp
@@ -41,7 +41,7 @@
   });
 }
 
-std::string_view Reason(int status) {
+std::string_view ReasonPhrase(int status) {
   switch (status) {
     case 200:
       return "OK";
@@ -85,7 +85,7 @@
     const size_t eol = rest.find('\n');
     const size_t take = eol == std::string_view::npos ? rest.size() : eol + 1;
     if (line_.size() + take > limits_.line + 2) {
-      Bad(true);
+      Fail(true);
       break;
     }
     line_.append(rest.substr(0, take));
@@ -95,91 +95,91 @@
     if (!line_.empty() && line_.back() == '\r') line_.pop_back();
     const std::string line = std::move(line_);
     line_.clear();
-    Line(line);
+    ParseLine(line);
   }
   return used;
 }
 
-void Parser::Line(std::string_view line) {
-  if (HasControl(line)) return Bad();
+void Parser::ParseLine(std::string_view line) {
+  if (HasControl(line)) return Fail();
   switch (state_) {
     case State::kStartLine:
       if (line.empty()) return;  // empty lines before a message are skipped
-      return StartLine(line);
+      return ParseStartLine(line);
     case State::kHeaders:
       header_bytes_ += line.size() + 2;
-      if (header_bytes_ > limits_.headers) return Bad(true);
-      return line.empty() ? HeadersEnd() : Header(line);
+      if (header_bytes_ > limits_.headers) return Fail(true);
+      return line.empty() ? EndHeaders() : ParseHeader(line);
     case State::kChunkSize: {
       size_t size = 0;
-      if (!ParseNumber(Trim(line.substr(0, line.find(';'))), 16, &size)) return Bad();
-      if (message_.body.size() + size > limits_.body) return Bad(true);
+      if (!ParseNumber(Trim(line.substr(0, line.find(';'))), 16, &size)) return Fail();
+      if (message_.body.size() + size > limits_.body) return Fail(true);
       remaining_ = size;
       state_ = size == 0 ? State::kTrailer : State::kChunkData;
       return;
     }
     case State::kChunkEnd:
-      if (!line.empty()) return Bad();
+      if (!line.empty()) return Fail();
       state_ = State::kChunkSize;
       return;
     case State::kTrailer:
       header_bytes_ += line.size() + 2;
-      if (header_bytes_ > limits_.headers) return Bad(true);
+      if (header_bytes_ > limits_.headers) return Fail(true);
       if (line.empty()) state_ = State::kDone;
       return;
     default:
-      return Bad();
+      return Fail();
   }
 }
 
-void Parser::StartLine(std::string_view line) {
+void Parser::ParseStartLine(std::string_view line) {
   const size_t a = line.find(' ');
-  if (a == std::string_view::npos) return Bad();
+  if (a == std::string_view::npos) return Fail();
   const size_t b = line.find(' ', a + 1);
   if (kind_ == Kind::kRequest) {
-    if (b == std::string_view::npos) return Bad();
+    if (b == std::string_view::npos) return Fail();
     const std::string_view version = line.substr(b + 1);
-    if (version != "HTTP/1.1" && version != "HTTP/1.0") return Bad();
-    if (!IsToken(line.substr(0, a))) return Bad();
+    if (version != "HTTP/1.1" && version != "HTTP/1.0") return Fail();
+    if (!IsToken(line.substr(0, a))) return Fail();
     message_.method = line.substr(0, a);
     message_.target = line.substr(a + 1, b - a - 1);
-    if (message_.target.empty() || message_.target.front() != '/') return Bad();
+    if (message_.target.empty() || message_.target.front() != '/') return Fail();
     message_.close = version == "HTTP/1.0";
   } else {
-    if (line.substr(0, 7) != "HTTP/1.") return Bad();
+    if (line.substr(0, 7) != "HTTP/1.") return Fail();
     const size_t end = b == std::string_view::npos ? line.size() : b;
     size_t status = 0;
-    if (!ParseNumber(line.substr(a + 1, end - a - 1), 10, &status)) return Bad();
-    if (status < 100 || status > 599) return Bad();
+    if (!ParseNumber(line.substr(a + 1, end - a - 1), 10, &status)) return Fail();
+    if (status < 100 || status > 599) return Fail();
     message_.status = static_cast<int>(status);
   }
   state_ = State::kHeaders;
 }
 
-void Parser::Header(std::string_view line) {
+void Parser::ParseHeader(std::string_view line) {
   const size_t colon = line.find(':');
-  if (colon == std::string_view::npos) return Bad();
+  if (colon == std::string_view::npos) return Fail();
   const std::string_view name = line.substr(0, colon);
-  if (!IsToken(name)) return Bad();
+  if (!IsToken(name)) return Fail();
   const std::string_view value = Trim(line.substr(colon + 1));
   if (EqualNoCase(name, "content-length")) {
     size_t length = 0;
-    if (!ParseNumber(value, 10, &length)) return Bad();
+    if (!ParseNumber(value, 10, &length)) return Fail();
     // With two different lengths, two parsers could disagree on where the message ends (request
     // smuggling).
-    if (message_.has_length && length != message_.content_length) return Bad();
+    if (message_.has_length && length != message_.content_length) return Fail();
     message_.has_length = true;
     message_.content_length = length;
   } else if (EqualNoCase(name, "transfer-encoding")) {
-    if (!EqualNoCase(value, "chunked")) return Bad();
+    if (!EqualNoCase(value, "chunked")) return Fail();
     message_.chunked = true;
   } else if (EqualNoCase(name, "connection")) {
     if (EqualNoCase(value, "close")) message_.close = true;
   }
 }
 
-void Parser::HeadersEnd() {
-  if (message_.chunked && message_.has_length) return Bad();
+void Parser::EndHeaders() {
+  if (message_.chunked && message_.has_length) return Fail();
   if (kind_ == Kind::kResponse && message_.status < 200) {  // an interim (1xx) response
     message_ = Message();
     state_ = State::kStartLine;
@@ -189,7 +189,7 @@
     state_ = State::kChunkSize;
     return;
   }
-  if (message_.content_length > limits_.body) return Bad(true);
+  if (message_.content_length > limits_.body) return Fail(true);
   remaining_ = message_.content_length;
   message_.body.reserve(remaining_);
   state_ = remaining_ == 0 ? State::kDone : State::kBody;
@@ -221,7 +221,7 @@
 std::string FormatResponse(int status, std::string_view body, int retry_after_s, bool close) {
   std::string out;
   out.reserve(160 + body.size());
-  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(Reason(status));
+  out.append("HTTP/1.1 ").append(std::to_string(status)).append(" ").append(ReasonPhrase(status));
   out.append("\r\nContent-Type: application/json\r\nContent-Length: ");
   out.append(std::to_string(body.size()));
   if (retry_after_s > 0) out.append("\r\nRetry-After: ").append(std::to_string(retry_after_s));
--- a/src/http/message.h
+++ b/src/http/message.h
@@ -53,11 +53,11 @@
   Message Take();  // moves the finished message out and resets the parser for the next one
 
  private:
-  void Line(std::string_view line);
-  void StartLine(std::string_view line);
-  void Header(std::string_view line);
-  void HeadersEnd();
-  void Bad(bool too_large = false) {
+  void ParseLine(std::string_view line);
+  void ParseStartLine(std::string_view line);
+  void ParseHeader(std::string_view line);
+  void EndHeaders();
+  void Fail(bool too_large = false) {
     state_ = State::kBad;
     too_large_ = too_large;
   }
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -2,9 +2,9 @@
 
 namespace badgershore::http {
 namespace {
-constexpr Micros kIdle = Seconds(75);     // a keep-alive connection without a request
-constexpr Micros kRequest = Seconds(10);  // from a request's first byte to its last
-constexpr Micros kWrite = Seconds(10);
+constexpr Micros kIdleTimeout = Seconds(75);     // a keep-alive connection without a request
+constexpr Micros kRequestTimeout = Seconds(10);  // from a request's first byte to its last
+constexpr Micros kWriteTimeout = Seconds(10);
 }  // namespace
 
 Result<void> Server::Start(const std::string& addr) {
@@ -30,7 +30,7 @@
   std::string pending;
   bool open = true;
   while (open) {
-    Micros deadline = io::Loop::Now() + (pending.empty() ? kIdle : kRequest);
+    Micros deadline = io::Loop::Now() + (pending.empty() ? kIdleTimeout : kRequestTimeout);
     bool started = !pending.empty();
     while (!parser.done() && !parser.bad()) {
       if (!pending.empty()) {
@@ -44,14 +44,14 @@
         open = false;
         break;
       }
-      if (!started) deadline = io::Loop::Now() + kRequest;
+      if (!started) deadline = io::Loop::Now() + kRequestTimeout;
       started = true;
       pending.append(buffer, static_cast<size_t>(n));
     }
     if (!open) break;
     if (parser.bad()) {
       const std::string out = FormatResponse(400, "{\"error\":\"bad request\"}", 0, true);
-      co_await socket.WriteAll(out, io::Loop::Now() + kWrite);
+      co_await socket.WriteAll(out, io::Loop::Now() + kWriteTimeout);
       break;
     }
     Message request = parser.Take();
@@ -59,7 +59,7 @@
     ServerAnswer answer = co_await handler_(std::move(request));
     if (answer.hang_up) break;
     const std::string out = FormatResponse(answer.status, answer.body, answer.retry_after_s, close);
-    open = co_await socket.WriteAll(out, io::Loop::Now() + kWrite);
+    open = co_await socket.WriteAll(out, io::Loop::Now() + kWriteTimeout);
     if (close) open = false;
   }
   --connections_;
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -16,13 +16,13 @@
 namespace badgershore::io {
 namespace {
 
-bool ParseAddr(const std::string& addr, sockaddr_in* out, int least_port = 1) {
+bool ParseAddr(const std::string& addr, sockaddr_in* out, int min_port = 1) {
   const size_t colon = addr.rfind(':');
   if (colon == std::string::npos) return false;
   std::memset(out, 0, sizeof(*out));
   out->sin_family = AF_INET;
   const int port = std::atoi(addr.c_str() + colon + 1);
-  if (port < least_port || port > 65535) return false;
+  if (port < min_port || port > 65535) return false;
   out->sin_port = htons(static_cast<uint16_t>(port));
   return inet_pton(AF_INET, addr.substr(0, colon).c_str(), &out->sin_addr) == 1;
 }
@@ -52,7 +52,7 @@
   return static_cast<int64_t>(ts.tv_sec) * 1000 + ts.tv_nsec / 1000000;
 }
 
-void Loop::Arm(Waiter* w, Micros deadline) {
+void Loop::StartTimer(Waiter* w, Micros deadline) {
   w->timer = timers_.emplace(deadline, w);
   w->has_timer = true;
 }
@@ -72,7 +72,7 @@
   epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &ev);
 }
 
-Micros Loop::RunTimers() {
+Micros Loop::ExpireTimers() {
   const Micros now = Now();
   while (!timers_.empty() && timers_.begin()->first <= now) {
     Waiter* w = timers_.begin()->second;
@@ -85,7 +85,7 @@
   return now;
 }
 
-void Loop::RunReady() {
+void Loop::ResumeReady() {
   while (!ready_.empty()) {
     Waiter* w = ready_.front();
     ready_.pop_front();
@@ -95,13 +95,13 @@
 
 void Loop::Run() {
   epoll_event events[64];
-  RunReady();
-  Micros turn_began = Now();
+  ResumeReady();
+  Micros turn_start = Now();
   while (running_) {
     int wait_ms = 1000;
     if (!timers_.empty()) {
       const Micros now = Now();
-      longest_turn_ = std::max(longest_turn_, now - turn_began);
+      longest_turn_ = std::max(longest_turn_, now - turn_start);
       const int64_t us = (timers_.begin()->first - now).count;
       wait_ms = us <= 0 ? 0 : static_cast<int>(std::min<int64_t>(1000, (us + 999) / 1000));
     }
@@ -110,8 +110,8 @@
       auto* state = static_cast<FdState*>(events[i].data.ptr);
       if (Waiter* w = std::exchange(state->waiter, nullptr)) Wake(w);
     }
-    turn_began = RunTimers();
-    RunReady();
+    turn_start = ExpireTimers();
+    ResumeReady();
   }
 }
 
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -44,7 +44,7 @@
   // last call of this function.
   Micros TakeLongestTurn() { return std::exchange(longest_turn_, Micros{}); }
 
-  void Arm(Waiter* w, Micros deadline);
+  void StartTimer(Waiter* w, Micros deadline);
   void Wake(Waiter* w);  // queues the coroutine; the loop resumes it, not the caller
 
   struct SleepAwaiter {
@@ -54,7 +54,7 @@
     bool await_ready() const noexcept { return false; }
     void await_suspend(std::coroutine_handle<> h) {
       waiter.handle = h;
-      loop->Arm(&waiter, deadline);
+      loop->StartTimer(&waiter, deadline);
     }
     void await_resume() const noexcept {}
   };
@@ -68,8 +68,8 @@
   void Add(int fd, FdState* state);
   // Moves the waiters whose timers have expired to the ready queue; returns the time it used as
   // now.
-  Micros RunTimers();
-  void RunReady();
+  Micros ExpireTimers();
+  void ResumeReady();
 
   int epoll_ = -1;
   bool running_ = true;
@@ -111,7 +111,7 @@
     void await_suspend(std::coroutine_handle<> h) {
       waiter.handle = h;
       socket->state_->waiter = &waiter;
-      if (deadline < kNever) socket->loop_->Arm(&waiter, deadline);
+      if (deadline < kNever) socket->loop_->StartTimer(&waiter, deadline);
     }
     bool await_resume() const noexcept {
       socket->state_->waiter = nullptr;
@@ -144,7 +144,7 @@
     void await_suspend(std::coroutine_handle<> h) {
       waiter.handle = h;
       slot->waiter_ = &waiter;
-      slot->loop_->Arm(&waiter, deadline);
+      slot->loop_->StartTimer(&waiter, deadline);
     }
     std::optional<T> await_resume() {
       slot->waiter_ = nullptr;
--- a/src/io/mailbox.h
+++ b/src/io/mailbox.h
@@ -19,13 +19,13 @@
  private:
   Task<void> Run();
 
-  int outside_ = -1;  // declared before `inside_`, whose initializer sets it
-  Socket inside_;
+  int wake_writer_fd_ = -1;  // declared before `wake_reader_`, whose initializer sets it
+  Socket wake_reader_;
   std::mutex mutex_;
   std::deque<std::function<void()>> work_;
 };
 
-// Calls `then` on the loop when SIGINT or SIGTERM arrives. Can be set once per process.
-void OnEndSignals(Loop* loop, std::function<void()> then);
+// Calls `on_signal` on the loop when SIGINT or SIGTERM arrives. Can be set once per process.
+void OnTerminationSignal(Loop* loop, std::function<void()> on_signal);
 
 }  // namespace badgershore::io
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -17,14 +17,14 @@
   bool await_ready() noexcept { return false; }
   template <typename P>
   std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-    auto next = h.promise().next;
-    return next ? next : std::noop_coroutine();
+    auto continuation = h.promise().continuation;
+    return continuation ? continuation : std::noop_coroutine();
   }
   void await_resume() noexcept {}
 };
 
 struct PromiseBase {
-  std::coroutine_handle<> next;
+  std::coroutine_handle<> continuation;
   std::suspend_always initial_suspend() noexcept { return {}; }
   FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() { std::terminate(); }
@@ -64,7 +64,7 @@
 
   bool await_ready() const noexcept { return false; }
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> awaiter) noexcept {
-    handle_.promise().next = awaiter;
+    handle_.promise().continuation = awaiter;
     return handle_;
   }
   T await_resume() {
--- a/src/io/worker.cpp
+++ b/src/io/worker.cpp
@@ -7,7 +7,7 @@
 Worker::~Worker() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
   changed_.notify_all();
   thread_.join();
@@ -24,8 +24,8 @@
 void Worker::Run() {
   for (;;) {
     std::unique_lock<std::mutex> lock(mutex_);
-    changed_.wait(lock, [&] { return ending_ || !jobs_.empty(); });
-    if (ending_) return;
+    changed_.wait(lock, [&] { return stopping_ || !jobs_.empty(); });
+    if (stopping_) return;
     const Job job = std::move(jobs_.front());
     jobs_.pop_front();
     lock.unlock();
--- a/src/io/worker.h
+++ b/src/io/worker.h
@@ -27,7 +27,7 @@
   std::mutex mutex_;
   std::condition_variable changed_;
   std::deque<Job> jobs_;
-  bool ending_ = false;
+  bool stopping_ = false;
   std::thread thread_;  // declared last: it uses the other members as soon as it is constructed
 };
 
--- a/src/programs/common.cpp
+++ b/src/programs/common.cpp
@@ -12,7 +12,7 @@
 
 // The pattern flag %*: the message escaped for use in a JSON string. Control characters become
 // spaces.
-class JsonText : public spdlog::custom_flag_formatter {
+class JsonMessageFlag : public spdlog::custom_flag_formatter {
  public:
   void format(const spdlog::details::log_msg& msg, const std::tm&,
               spdlog::memory_buf_t& out) override {
@@ -22,7 +22,7 @@
     }
   }
   std::unique_ptr<custom_flag_formatter> clone() const override {
-    return std::make_unique<JsonText>();
+    return std::make_unique<JsonMessageFlag>();
   }
 };
 
@@ -35,7 +35,7 @@
       std::make_shared<spdlog::logger>(program, std::make_shared<spdlog::sinks::stderr_sink_st>());
   if (format == "json") {
     auto formatter = std::make_unique<spdlog::pattern_formatter>();
-    formatter->add_flag<JsonText>('*').set_pattern(
+    formatter->add_flag<JsonMessageFlag>('*').set_pattern(
         R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l","text":"%*"})");
     logger->set_formatter(std::move(formatter));
   } else {
@@ -65,7 +65,7 @@
   try {
     app->parse(argc, argv);
   } catch (const CLI::ParseError& e) {
-    return app->exit(e) == 0 ? 0 : kBadInput;
+    return app->exit(e) == 0 ? 0 : kExitInvalidInput;
   }
   return -1;
 }
--- a/src/programs/common.h
+++ b/src/programs/common.h
@@ -6,8 +6,8 @@
 
 namespace badgershore::programs {
 
-constexpr int kBadInput = 2;
-constexpr int kDataDamaged = 3;  // the data on disk is corrupt
+constexpr int kExitInvalidInput = 2;
+constexpr int kExitDataCorrupt = 3;  // the data on disk is corrupt
 
 // Sets up logging to standard error. The level comes from LOG_LEVEL (error, info or debug);
 // `format` is text or json. Prints an error and returns false if the level is invalid.
--- a/src/programs/controller.cpp
+++ b/src/programs/controller.cpp
@@ -26,7 +26,7 @@
   std::string log_format = "text";
   programs::AddLogFormat(&app, &log_format);
   if (const int code = programs::Parse(&app, argc, argv); code >= 0) return code;
-  if (!programs::SetUpLog("badgershore", log_format)) return programs::kBadInput;
+  if (!programs::SetUpLog("badgershore", log_format)) return programs::kExitInvalidInput;
   PlatformSettings settings;
   Options options;
   try {
@@ -51,7 +51,7 @@
     std::fprintf(stderr, "badgershore: %s\n", started.error().message.c_str());
     return 1;
   }
-  io::OnEndSignals(&loop, [&] { server.Shutdown([&] { loop.Stop(); }); });
+  io::OnTerminationSignal(&loop, [&] { server.Shutdown([&] { loop.Stop(); }); });
   spdlog::info("member {} of site {} listens on {}", settings.member, settings.site,
                settings.client_listen);
   loop.Run();
--- a/src/programs/rehearse.cpp
+++ b/src/programs/rehearse.cpp
@@ -43,7 +43,7 @@
 }
 
 // Resolves a scenario given as a file or as the name of a stored scenario.
-std::string FileOf(const std::string& scenario) {
+std::string ResolveScenarioFile(const std::string& scenario) {
   if (std::filesystem::exists(scenario)) return scenario;
   std::string kept = g_scenarios + "/" + scenario + ".yaml";
   if (!std::filesystem::exists(kept)) {
@@ -60,7 +60,7 @@
 
 // A digest of the final states. A job whose cancellation races with its completion may end in
 // either state, so it is counted as `either`.
-std::string FinalSha(const Scenario& scenario, Result r) {
+std::string FinalStatesDigest(const Scenario& scenario, Result r) {
   for (const std::string& id : scenario.either) {
     if (r.final_states.contains(id) && r.final_states[id] != "open") r.final_states[id] = "either";
   }
@@ -73,11 +73,12 @@
   return v[std::min(v.size() - 1, static_cast<size_t>(q * static_cast<double>(v.size())))];
 }
 
-std::string Json(const Scenario& scenario, const Result& r, double wall_s, const char* time) {
+std::string ResultToJson(const Scenario& scenario, const Result& r, double wall_s,
+                         const char* time) {
   wire::Writer w;
   w.Begin().Put("scenario", r.scenario).Put("seed", r.seed).Put("time", time);
   w.Key("jobs").Begin().Put("done", r.done).Put("withdrawn", r.withdrawn).Put("open", r.open).End();
-  w.Put("final_states_sha256", FinalSha(scenario, r));
+  w.Put("final_states_sha256", FinalStatesDigest(scenario, r));
   w.Put("history_sha256", store::Sha256(r.history));
   w.Key("broken").BeginList();
   for (const auto& b : r.broken) {
@@ -105,10 +106,10 @@
   return w.End().Done();
 }
 
-void Print(const Scenario& scenario, const Result& r, double wall_s) {
+void PrintResult(const Scenario& scenario, const Result& r, double wall_s) {
   std::printf("%s, seed %llu: %d done, %d withdrawn, %d open; final states %.12s, history %.12s\n",
               r.scenario.c_str(), static_cast<unsigned long long>(r.seed), r.done, r.withdrawn,
-              r.open, FinalSha(scenario, r).c_str(), store::Sha256(r.history).c_str());
+              r.open, FinalStatesDigest(scenario, r).c_str(), store::Sha256(r.history).c_str());
   for (const auto& [lane, waits] : r.waits) {
     std::printf("  %-20s %5zu jobs, done within %.0f s (half), %.0f s (90%%), %.0f s (99%%)\n",
                 lane.c_str(), waits.size(), Quantile(waits, 0.5), Quantile(waits, 0.9),
@@ -127,7 +128,7 @@
   if (r.broken.size() > 10) std::printf("  and %zu more\n", r.broken.size() - 10);
 }
 
-Result Play(const Scenario& scenario, uint64_t seed, double* wall_s) {
+Result PlayTimed(const Scenario& scenario, uint64_t seed, double* wall_s) {
   const auto start = std::chrono::steady_clock::now();
   Result r = rehearsal::Play(scenario, seed);
   *wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
@@ -168,7 +169,7 @@
     const auto started = site.Start([&] { loop.Stop(); });
     if (!started) throw config::Error(started.error().message);
     bool interrupted = false;
-    io::OnEndSignals(&loop, [&] {
+    io::OnTerminationSignal(&loop, [&] {
       interrupted = true;
       site.Stop();
     });
@@ -181,7 +182,7 @@
   return result;
 }
 
-io::Task<void> Show(io::Loop* loop, rehearsal::Site* site, bool tty) {
+io::Task<void> ShowProgress(io::Loop* loop, rehearsal::Site* site, bool tty) {
   while (!site->ready()) co_await loop->Sleep(Millis(50));
   std::printf(
       "badgershore is up: http://%s\n"
@@ -208,7 +209,7 @@
   }
 }
 
-int Up(const Scenario& scenario, const std::string& listen, const std::string& data) {
+int RunSite(const Scenario& scenario, const std::string& listen, const std::string& data) {
   const std::string dir = data.empty() ? TemporaryFolder() : data;
   int code = 0;
   {
@@ -218,8 +219,8 @@
       std::fprintf(stderr, "badgershore-rehearse: %s\n", started.error().message.c_str());
       code = 1;
     } else {
-      io::OnEndSignals(&loop, [&] { site.Stop(); });
-      io::Spawn(Show(&loop, &site, ::isatty(STDOUT_FILENO) == 1));
+      io::OnTerminationSignal(&loop, [&] { site.Stop(); });
+      io::Spawn(ShowProgress(&loop, &site, ::isatty(STDOUT_FILENO) == 1));
       loop.Run();
     }
   }
@@ -232,11 +233,12 @@
   const Scenario scenario = config::LoadScenario(file);
   double wall_s = 0;
   const char* time = real ? "real" : "simulated";
-  const Result r = real ? PlayReal(scenario, file, seed, &wall_s) : Play(scenario, seed, &wall_s);
-  Print(scenario, r, wall_s);
+  const Result r =
+      real ? PlayReal(scenario, file, seed, &wall_s) : PlayTimed(scenario, seed, &wall_s);
+  PrintResult(scenario, r, wall_s);
   if (!json.empty()) {
     std::ofstream out(json);
-    out << Json(scenario, r, wall_s, time) << "\n";
+    out << ResultToJson(scenario, r, wall_s, time) << "\n";
     if (!out.flush()) throw config::Error(json + ": can't write the file");
   }
   if (!evidence.empty()) {
@@ -245,21 +247,21 @@
     out.Add("history.txt", r.history);
     out.Add("log.txt", r.log);
     out.Add("final-states.txt", FinalText(r));
-    out.Add("result.json", Json(scenario, r, wall_s, time) + "\n");
+    out.Add("result.json", ResultToJson(scenario, r, wall_s, time) + "\n");
     out.Finish();
   }
   return r.clean() ? 0 : 1;
 }
 
 // Removes faults one at a time as long as the scenario still fails, and prints those that are left.
-void Shrink(Scenario scenario, uint64_t seed) {
+void MinimizeFaults(Scenario scenario, uint64_t seed) {
   for (size_t i = 0; i < scenario.troubles.size();) {
-    Scenario less = scenario;
-    less.troubles.erase(less.troubles.begin() + static_cast<std::ptrdiff_t>(i));
-    if (rehearsal::Play(less, seed).clean()) {
+    Scenario reduced = scenario;
+    reduced.troubles.erase(reduced.troubles.begin() + static_cast<std::ptrdiff_t>(i));
+    if (rehearsal::Play(reduced, seed).clean()) {
       ++i;
     } else {
-      scenario = std::move(less);
+      scenario = std::move(reduced);
     }
   }
   std::printf("smallest set of faults that still fails: %zu, at", scenario.troubles.size());
@@ -267,7 +269,7 @@
   std::printf("\n");
 }
 
-int Explore(const std::string& file, const std::string& seeds, int jobs) {
+int ExploreSeeds(const std::string& file, const std::string& seeds, int jobs) {
   const size_t dots = seeds.find("..");
   char* end = nullptr;
   const uint64_t first = std::strtoull(seeds.c_str(), &end, 10);
@@ -281,7 +283,7 @@
   std::atomic<bool> stop{false};
   std::mutex mutex;
   std::map<std::string, int> finals;
-  std::optional<Result> bad;
+  std::optional<Result> failure;
   double slowest = 0;
   const bool tty = ::isatty(STDERR_FILENO) == 1;
   const auto work = [&] {
@@ -289,16 +291,16 @@
       const uint64_t seed = next++;
       if (seed > last || stop) return;
       double wall_s = 0;
-      Result r = Play(scenario, seed, &wall_s);
+      Result r = PlayTimed(scenario, seed, &wall_s);
       const std::lock_guard<std::mutex> lock(mutex);
       ++played;
       slowest = std::max(slowest, wall_s);
-      ++finals[FinalSha(scenario, r)];
+      ++finals[FinalStatesDigest(scenario, r)];
       if (tty)
         std::fprintf(stderr, "\r%llu of %llu", static_cast<unsigned long long>(played),
                      static_cast<unsigned long long>(last - first + 1));
-      if (!r.clean() && (!bad || r.seed < bad->seed)) {
-        bad = std::move(r);
+      if (!r.clean() && (!failure || r.seed < failure->seed)) {
+        failure = std::move(r);
         stop = true;
       }
     }
@@ -312,11 +314,11 @@
               static_cast<unsigned long long>(played), slowest);
   for (const auto& [sha, count] : finals) std::printf("; %.12s %d times", sha.c_str(), count);
   std::printf("\n");
-  if (bad) {
-    Print(scenario, *bad, 0);
+  if (failure) {
+    PrintResult(scenario, *failure, 0);
     std::printf("replay: badgershore-rehearse run %s --seed %llu\n", file.c_str(),
-                static_cast<unsigned long long>(bad->seed));
-    Shrink(scenario, bad->seed);
+                static_cast<unsigned long long>(failure->seed));
+    MinimizeFaults(scenario, failure->seed);
     return 1;
   }
   if (finals.size() == 1) return 0;
@@ -325,7 +327,7 @@
 }
 
 template <typename World>
-int Model(const World& start_world, uint64_t states) {
+int ExploreModel(const World& start_world, uint64_t states) {
   const auto start = std::chrono::steady_clock::now();
   const check::Outcome o = check::Explore(start_world, states);
   std::printf("%llu states, %llu steps, every order of %d events%s, %.1f s: %s\n",
@@ -380,12 +382,12 @@
   explore->add_option("scenario", name, "Name of a stored scenario, or a file")->required();
   explore->add_option("--seeds", seeds, "Range of seeds, A..B")->capture_default_str();
   explore->add_option("--jobs", jobs, "Number of runs in parallel")->check(CLI::Range(1, 256));
-  check::LimitsPlan plan;
+  check::LimitsPlan limits_plan;
   uint64_t states = 1000000;
-  check::ElectionPlan lead;
+  check::ElectionPlan leadership_plan;
   std::string of = "limits";
   CLI::App* model = verb("model", "Explore every order of events of a state machine");
-  check::CancelPlan cancel;
+  check::CancelPlan cancellation_plan;
   int planted = 0;
   model
       ->add_option("of", of,
@@ -393,54 +395,61 @@
                    "cancellations: cancelled jobs in one cell")
       ->check(CLI::IsMember({"limits", "leadership", "cancellations"}))
       ->capture_default_str();
-  model->add_option("--seconds", cancel.seconds, "Cancellations: seconds that pass");
-  model->add_option("--troubles", cancel.troubles, "Cancellations: largest number of faults");
-  model->add_option("--first", cancel.first,
+  model->add_option("--seconds", cancellation_plan.seconds, "Cancellations: seconds that pass");
+  model->add_option("--troubles", cancellation_plan.troubles,
+                    "Cancellations: largest number of faults");
+  model->add_option("--first", cancellation_plan.first,
                     "Cancellations: events that are applied before the exploration");
   model
       ->add_option("--planted", planted,
                    "Cancellations: number of the injected fault to find; 0: none")
       ->check(CLI::Range(0, 4));
-  model->add_option("--nodes", lead.nodes, "Leadership: number of controllers")
+  model->add_option("--nodes", leadership_plan.nodes, "Leadership: number of controllers")
       ->check(CLI::Range(2, 5));
-  model->add_option("--times", lead.times, "Leadership: time that passes, in thirds of a lease");
-  model->add_option("--lates", lead.lates, "Leadership: number of delayed requests or responses");
-  model->add_option("--losses", lead.losses, "Leadership: number of lost responses");
-  model->add_option("--ends", lead.ends, "Leadership: number of controllers that end");
-  model->add_option("--retires", lead.retires, "Leadership: number of handovers");
-  model->add_option("--cells", plan.cells, "Limits: number of cells")
+  model->add_option("--times", leadership_plan.times,
+                    "Leadership: time that passes, in thirds of a lease");
+  model->add_option("--lates", leadership_plan.lates,
+                    "Leadership: number of delayed requests or responses");
+  model->add_option("--losses", leadership_plan.losses, "Leadership: number of lost responses");
+  model->add_option("--ends", leadership_plan.ends, "Leadership: number of controllers that end");
+  model->add_option("--retires", leadership_plan.retires, "Leadership: number of handovers");
+  model->add_option("--cells", limits_plan.cells, "Limits: number of cells")
       ->check(CLI::Range(2, 5))
       ->capture_default_str();
-  model->add_option("--teams", plan.teams, "Limits: number of teams")
+  model->add_option("--teams", limits_plan.teams, "Limits: number of teams")
       ->check(CLI::Range(1, 3))
       ->capture_default_str();
-  model->add_option("--whole", plan.whole, "Limits: limit of a team, in tasks")
+  model->add_option("--whole", limits_plan.whole, "Limits: limit of a team, in tasks")
+      ->capture_default_str();
+  model->add_option("--crashes", limits_plan.crashes, "Limits: number of crashes")
       ->capture_default_str();
-  model->add_option("--crashes", plan.crashes, "Limits: number of crashes")->capture_default_str();
   model
-      ->add_option("--restores", plan.restores,
+      ->add_option("--restores", limits_plan.restores,
                    "Limits: number of restores of an old copy of a record")
       ->capture_default_str();
   model
-      ->add_option("--repeats", plan.repeats, "Limits: number of messages that are delivered again")
+      ->add_option("--repeats", limits_plan.repeats,
+                   "Limits: number of messages that are delivered again")
       ->capture_default_str();
   model
-      ->add_option("--transfers", plan.transfers, "Limits: total number of transfers between cells")
+      ->add_option("--transfers", limits_plan.transfers,
+                   "Limits: total number of transfers between cells")
       ->capture_default_str();
   model->add_option("--states", states, "Largest number of states")->capture_default_str();
   CLI::App* list = verb("list", "List the stored scenarios");
   CLI::App* check = verb("check", "Check a scenario file");
   check->add_option("scenario", name, "Name of a stored scenario, or a file")->required();
   if (const int code = programs::Parse(&app, argc, argv); code >= 0) return code;
-  if (!programs::SetUpLog("badgershore-rehearse", log_format)) return programs::kBadInput;
+  if (!programs::SetUpLog("badgershore-rehearse", log_format)) return programs::kExitInvalidInput;
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    if (*model && of == "leadership") return Model(check::ElectionModel(lead), states);
+    if (*model && of == "leadership")
+      return ExploreModel(check::ElectionModel(leadership_plan), states);
     if (*model && of == "cancellations") {
-      cancel.planted = static_cast<check::PlantedInAuthority>(planted);
-      return Model(check::CancelModel(cancel), states);
+      cancellation_plan.planted = static_cast<check::PlantedInAuthority>(planted);
+      return ExploreModel(check::CancelModel(cancellation_plan), states);
     }
-    if (*model) return Model(check::LimitsModel(plan), states);
+    if (*model) return ExploreModel(check::LimitsModel(limits_plan), states);
     if (*list) {
       std::vector<std::string> files;
       for (const auto& f : std::filesystem::directory_iterator(g_scenarios)) {
@@ -454,13 +463,15 @@
       return 0;
     }
     if (*up) {
-      if (!name.empty()) CheckPlayable(config::LoadScenario(FileOf(name)), FileOf(name));
-      return Up(name.empty() ? config::SmallSite() : config::LoadScenario(FileOf(name)), listen,
-                data);
+      if (!name.empty())
+        CheckPlayable(config::LoadScenario(ResolveScenarioFile(name)), ResolveScenarioFile(name));
+      return RunSite(
+          name.empty() ? config::SmallSite() : config::LoadScenario(ResolveScenarioFile(name)),
+          listen, data);
     }
-    const std::string file = FileOf(name);
+    const std::string file = ResolveScenarioFile(name);
     if (*run) return RunScenario(file, seed, time == "real", json, evidence);
-    if (*explore) return Explore(file, seeds, jobs);
+    if (*explore) return ExploreSeeds(file, seeds, jobs);
     const Scenario scenario = config::LoadScenario(file);
     std::printf("%s is valid: %zu job classes, %zu faults\n", scenario.name.c_str(),
                 scenario.classes.size(), scenario.troubles.size());
@@ -470,5 +481,5 @@
   } catch (const std::exception& e) {
     std::fprintf(stderr, "badgershore-rehearse: %s\n", e.what());
   }
-  return programs::kBadInput;
+  return programs::kExitInvalidInput;
 }
--- a/src/programs/scale.cpp
+++ b/src/programs/scale.cpp
@@ -45,7 +45,7 @@
   bool keep_;
 };
 
-scale::Report PlayOnce(const scale::Plan& plan, uint64_t seed, const std::string& keep) {
+scale::Report RunOnce(const scale::Plan& plan, uint64_t seed, const std::string& keep) {
   const RunFolder folder(keep);
   scale::RunOptions options;
   options.programs = ProgramFolder();
@@ -53,7 +53,7 @@
   options.seed = seed;
   options.progress = ::isatty(STDERR_FILENO) == 1;
   scale::Run run(plan, std::move(options));
-  return run.Play();
+  return run.Execute();
 }
 
 void WriteFile(const std::string& file, const std::string& text) {
@@ -64,7 +64,7 @@
 
 int RunPlan(const std::string& file, uint64_t seed, const std::string& json,
             const std::string& keep) {
-  const scale::Report report = PlayOnce(scale::LoadPlan(file), seed, keep);
+  const scale::Report report = RunOnce(scale::LoadPlan(file), seed, keep);
   if (json == "-") {
     std::printf("%s\n", scale::ToJson(report).c_str());
   } else {
@@ -94,12 +94,12 @@
           const std::string& out) {
   const scale::Plan plan = scale::LoadPlan(file);
   const std::vector<double> values = ParseSizes(sizes);
-  for (const double value : values) scale::WithAxis(plan, axis, value);  // checks the axis
+  for (const double value : values) scale::VaryPlan(plan, axis, value);  // checks the axis
   bool clean = true;
   for (int repeat = 1; repeat <= repeats; ++repeat) {
     for (const double value : values) {
-      const scale::Plan varied = scale::WithAxis(plan, axis, value);
-      const scale::Report report = PlayOnce(varied, static_cast<uint64_t>(repeat), "");
+      const scale::Plan varied = scale::VaryPlan(plan, axis, value);
+      const scale::Report report = RunOnce(varied, static_cast<uint64_t>(repeat), "");
       clean = clean && report.clean();
       if (!report.stopped.empty()) throw config::Error("stopped: " + report.stopped);
       const scale::Row row = {axis, value, repeat, scale::LoadOf(varied),
@@ -127,12 +127,12 @@
       scale::ParseRows(config::ReadFile(slopes), slopes), options.load, options.budget);
   if (!options.page_to_write.empty()) {
     const std::string page = config::ReadFile(options.page_to_write);
-    WriteFile(options.page_to_write, scale::WithTables(page, tables));
+    WriteFile(options.page_to_write, scale::ReplaceTables(page, tables));
     return 0;
   }
   if (!options.page_to_check.empty()) {
     const std::string page = config::ReadFile(options.page_to_check);
-    if (scale::WithTables(page, tables) == page) return 0;
+    if (scale::ReplaceTables(page, tables) == page) return 0;
     std::printf("%s: the tables are out of date; rewrite them with --write\n",
                 options.page_to_check.c_str());
     return 1;
@@ -193,7 +193,7 @@
   CLI::App* check = verb("check", "Check a plan file");
   check->add_option("plan", file, "Plan file (YAML)")->required();
   if (const int code = programs::Parse(&app, argc, argv); code >= 0) return code;
-  if (!programs::SetUpLog("badgershore-scale", log_format)) return programs::kBadInput;
+  if (!programs::SetUpLog("badgershore-scale", log_format)) return programs::kExitInvalidInput;
   std::signal(SIGPIPE, SIG_IGN);
   try {
     if (*run) return RunPlan(file, seed, json, keep);
@@ -207,5 +207,5 @@
   } catch (const std::exception& e) {
     std::fprintf(stderr, "badgershore-scale: %s\n", e.what());
   }
-  return programs::kBadInput;
+  return programs::kExitInvalidInput;
 }
--- a/src/programs/state.cpp
+++ b/src/programs/state.cpp
@@ -40,10 +40,10 @@
 }
 
 // Stops the service because its data is corrupt. Returns the exit code.
-int StopFor(io::Loop* loop, const std::string& damage) {
+int StopOnDataDamage(io::Loop* loop, const std::string& damage) {
   spdlog::error("{}", damage);
   loop->Stop();
-  return programs::kDataDamaged;
+  return programs::kExitDataCorrupt;
 }
 
 int Serve(const std::string& dir, const std::string& listen, const Settings& settings) {
@@ -58,12 +58,13 @@
   store::Service service(&loop, &engine, settings.limits,
                          static_cast<size_t>(settings.max_connections));
   int exit_code = 0;
-  service.SetOnDataDamaged([&](const std::string& line) { exit_code = StopFor(&loop, line); });
+  service.SetOnDataDamaged(
+      [&](const std::string& line) { exit_code = StopOnDataDamage(&loop, line); });
   if (const auto started = service.Start(listen); !started) {
     std::fprintf(stderr, "badgershore-state: %s\n", started.error().message.c_str());
     return 1;
   }
-  io::OnEndSignals(&loop, [&] { loop.Stop(); });
+  io::OnTerminationSignal(&loop, [&] { loop.Stop(); });
   spdlog::info("state loaded: {} keys at revision {}", service.machine().state().items.size(),
                service.machine().state().revision);
   std::printf("listening on %s\n", service.address().c_str());
@@ -84,12 +85,13 @@
   replication::ReplicatedService service(&loop, &engine, settings.limits, set, name,
                                          static_cast<size_t>(settings.max_connections));
   int exit_code = 0;
-  service.SetOnDataDamaged([&](const std::string& line) { exit_code = StopFor(&loop, line); });
+  service.SetOnDataDamaged(
+      [&](const std::string& line) { exit_code = StopOnDataDamage(&loop, line); });
   if (const auto started = service.Start(); !started) {
     std::fprintf(stderr, "badgershore-state: %s\n", started.error().message.c_str());
     return 1;
   }
-  io::OnEndSignals(&loop, [&] { loop.Stop(); });
+  io::OnTerminationSignal(&loop, [&] { loop.Stop(); });
   std::printf("listening on %s\n", service.address().c_str());
   std::fflush(stdout);
   loop.Run();
@@ -98,7 +100,7 @@
 
 // Initializes a data directory for a replica. It must be run for every replica before its first
 // start, and all directories must hold the same content.
-int Init(const std::string& dir, const std::string& replicas) {
+int InitReplica(const std::string& dir, const std::string& replicas) {
   const replication::ReplicaSet set = replication::LoadReplicaSet(replicas);
   store::Engine engine(dir, store::Engine::OpenMode::kReadWrite);
   if (!engine.LoadOwnerMetadata().empty())
@@ -116,7 +118,7 @@
   return 0;
 }
 
-int Look(const std::string& dir, bool dump) {
+int Inspect(const std::string& dir, bool dump) {
   store::Engine engine(dir, store::Engine::OpenMode::kReadOnly);
   const store::StateImage image = engine.Load();
   if (!dump) {
@@ -151,12 +153,12 @@
     return sub;
   };
   CLI::App* serve = verb("serve", "Serve the state over HTTP");
-  CLI::Option* listens = serve->add_option("--listen", listen,
-                                           "Listen address, HOST:PORT; port 0 selects a free port");
-  CLI::Option* of_set = serve->add_option(
+  CLI::Option* listen_option = serve->add_option(
+      "--listen", listen, "Listen address, HOST:PORT; port 0 selects a free port");
+  CLI::Option* replicas_option = serve->add_option(
       "--replicas", replicas, "Serve as one of several replicas; the list of replicas (YAML)");
-  serve->add_option("--name", name, "Name of this replica in the list")->needs(of_set);
-  of_set->excludes(listens);
+  serve->add_option("--name", name, "Name of this replica in the list")->needs(replicas_option);
+  replicas_option->excludes(listen_option);
   serve->add_option("--options", options, "Limits and sizes (YAML), as in deploy/state.yaml");
   serve->add_flag("--check", check_only, "Check the options and exit");
   CLI::App* init =
@@ -170,7 +172,7 @@
   CLI::App* restore = verb("restore", "Restore a snapshot into an empty directory");
   restore->add_option("--from", file, "Archive to read (tar.zst)")->required();
   if (const int code = programs::Parse(&app, argc, argv); code >= 0) return code;
-  if (!programs::SetUpLog("badgershore-state", log_format)) return programs::kBadInput;
+  if (!programs::SetUpLog("badgershore-state", log_format)) return programs::kExitInvalidInput;
   try {
     if (*serve) {
       const Settings settings = ReadSettings(options);
@@ -180,8 +182,8 @@
       if (!check_only) return Serve(dir, listen, settings);
       std::printf("options are valid\n");
     }
-    if (*init) return Init(dir, replicas);
-    if (*check || *dump) return Look(dir, static_cast<bool>(*dump));
+    if (*init) return InitReplica(dir, replicas);
+    if (*check || *dump) return Inspect(dir, static_cast<bool>(*dump));
     if (*snapshot) {
       store::Engine engine(dir, store::Engine::OpenMode::kReadOnly);
       const store::StateImage image = engine.Load();
@@ -195,10 +197,10 @@
     }
   } catch (const config::Error& e) {
     std::fprintf(stderr, "badgershore-state: %s\n", e.what());
-    return programs::kBadInput;
+    return programs::kExitInvalidInput;
   } catch (const store::DataDamagedError& e) {
     std::fprintf(stderr, "badgershore-state: %s\n", e.what());
-    return programs::kDataDamaged;
+    return programs::kExitDataCorrupt;
   } catch (const store::DiskError& e) {
     std::fprintf(stderr, "badgershore-state: %s\n", e.what());
     return 1;
--- a/src/scale/core/capacity.h
+++ b/src/scale/core/capacity.h
@@ -23,6 +23,6 @@
 
 // Returns `page` with the text between its two markers replaced by the tables. Throws config::Error
 // if the page has no markers.
-std::string WithTables(const std::string& page, const std::string& tables);
+std::string ReplaceTables(const std::string& page, const std::string& tables);
 
 }  // namespace badgershore::scale
--- a/src/scale/core/plan.cpp
+++ b/src/scale/core/plan.cpp
@@ -18,8 +18,8 @@
 // Added to a rate so that rounding does not bring its product with a span, a whole number of jobs,
 // below that number.
 constexpr double kRoundingGuard = 1e-6;
-constexpr double kRecheckLeastS = 1, kRecheckMostS = 3;
-constexpr Micros kLeaderBack = Seconds(10);
+constexpr double kMinRecheckS = 1, kMaxRecheckS = 3;
+constexpr Micros kLeaderRestartDelay = Seconds(10);
 
 std::string TeamName(int index) { return "team-" + std::to_string(index + 1); }
 
@@ -77,7 +77,7 @@
     const int of_team = jobs / plan.teams + (team < jobs % plan.teams ? 1 : 0);
     if (of_team == 0) continue;
     JobClass c;
-    c.spec.job_class = kBatchLane;
+    c.spec.job_class = kBatchClass;
     c.spec.team = TeamName(team);
     c.spec.kind = JobKind::kArray;
     c.spec.priority = Priority::kNormal;
@@ -101,7 +101,7 @@
     const int of_kind = gangs / kinds + (kind < gangs % kinds ? 1 : 0);
     if (of_kind == 0) continue;
     JobClass c;
-    c.spec.job_class = kUrgentLane;
+    c.spec.job_class = kUrgentClass;
     c.spec.team = TeamName(kind % plan.teams);
     c.spec.kind = JobKind::kGang;
     c.spec.priority = Priority::kProduction;
@@ -123,7 +123,7 @@
     t.kind = Trouble::Kind::kKill;
     t.who = "leader";
     t.at = middle_of_peak;
-    t.span = kLeaderBack;
+    t.span = kLeaderRestartDelay;
     out->troubles.push_back(t);
   }
   if (plan.faults.lose_workers > 0) {
@@ -190,7 +190,7 @@
   return plan;
 }
 
-Plan WithAxis(Plan plan, const std::string& axis, double value) {
+Plan VaryPlan(Plan plan, const std::string& axis, double value) {
   const int whole = static_cast<int>(std::lround(value));
   if (value <= 0) throw config::Error(axis + ": expected a size above 0");
   if (axis == "workers") {
@@ -218,8 +218,8 @@
   out.about = plan.about;
   out.duration = plan.phases.load();
   out.settle = plan.phases.settle;
-  out.recheck_least_s = kRecheckLeastS;
-  out.recheck_most_s = kRecheckMostS;
+  out.recheck_least_s = kMinRecheckS;
+  out.recheck_most_s = kMaxRecheckS;
   out.site = plan.site;
   for (int team = 0; team < plan.teams; ++team) {
     Team t;
@@ -227,7 +227,7 @@
     t.limit.cpu = std::llround(plan.quota_cpus * 1000);
     out.site.teams.push_back(std::move(t));
   }
-  out.site.objectives.push_back({"wait", kUrgentLane, plan.urgent.start_within, 0.9});
+  out.site.objectives.push_back({"wait", kUrgentClass, plan.urgent.start_within, 0.9});
   out.types.push_back(WorkerType(plan));
   for (int step = 0; step < kRampSteps; ++step) {
     const Micros from = plan.phases.ramp.Scaled(static_cast<double>(step) / kRampSteps);
--- a/src/scale/core/plan.h
+++ b/src/scale/core/plan.h
@@ -66,12 +66,12 @@
 
 // Returns the plan with one parameter changed: `workers`, `starts_per_s`, `teams`, `tasks_per_job`,
 // `task_run_s` or `gang_size`. Throws config::Error for another axis or a value of 0 or less.
-Plan WithAxis(Plan plan, const std::string& axis, double value);
+Plan VaryPlan(Plan plan, const std::string& axis, double value);
 
 // Converts the site, the arrivals and the faults to a scenario for the rehearsal's emulators.
 config::Scenario ToScenario(const Plan& plan);
 
 // Job classes of the scenario.
-inline const std::string kBatchLane = "batch", kUrgentLane = "urgent";
+inline const std::string kBatchClass = "batch", kUrgentClass = "urgent";
 
 }  // namespace badgershore::scale
--- a/src/scale/core/report.cpp
+++ b/src/scale/core/report.cpp
@@ -8,10 +8,10 @@
 namespace badgershore::scale {
 namespace {
 
-constexpr size_t kBrokenShown = 10;
+constexpr size_t kMaxViolationsShown = 10;
 const std::string kLongestTurn = "badgershore_loop_longest_turn_seconds";
 
-std::string Line(const char* format, auto... values) {
+std::string Format(const char* format, auto... values) {
   char text[256];
   std::snprintf(text, sizeof(text), format, values...);
   return text;
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-PhaseUsage Between(const Sample& from, const Sample& to, int workers) {
+PhaseUsage UsageBetween(const Sample& from, const Sample& to, int workers) {
   PhaseUsage phase;
   phase.name = from.phase;
   phase.span_s = to.at_s - from.at_s;
@@ -87,15 +87,15 @@
   return nullptr;
 }
 
-Report::Wait WaitOf(const StartTimes::Lane& lane) {
-  return {lane.submitted,
-          lane.started_whole,
-          lane.first_start.Quantile(0.5),
-          lane.first_start.Quantile(0.9),
-          lane.last_start.Quantile(0.5),
-          lane.last_start.Quantile(0.9),
-          lane.last_start.Quantile(0.99),
-          lane.last_start.longest()};
+Report::Wait SummarizeWaits(const StartTimes::ClassTimes& times) {
+  return {times.submitted,
+          times.started_whole,
+          times.first_start.Quantile(0.5),
+          times.first_start.Quantile(0.9),
+          times.last_start.Quantile(0.5),
+          times.last_start.Quantile(0.9),
+          times.last_start.Quantile(0.99),
+          times.last_start.longest()};
 }
 
 std::string ToJson(const Report& r) {
@@ -121,44 +121,44 @@
 }
 
 std::string ToTable(const Report& r) {
-  std::string out = Line(
+  std::string out = Format(
       "%s: %d workers, %d teams; %.0f starts a second asked for, %.0f reached "
       "(best 10 s), %d in the busiest second\n",
       r.plan.c_str(), r.workers, r.teams, r.starts_asked_per_s, r.starts_reached_per_s,
       r.busiest_second);
-  out += Line("%llu starts, %d tasks at once (%.0f asked for); jobs: %d done, %d open\n",
-              static_cast<unsigned long long>(r.starts), r.most_running, r.running_asked, r.done,
-              r.open);
-  out += Line("%-10s %6s %8s %9s %9s %9s %11s  cores (memory, MB) by role\n", "phase", "span s",
-              "starts/s", "reports/s", "changes/s", "turn ms", "worker B/s");
+  out += Format("%llu starts, %d tasks at once (%.0f asked for); jobs: %d done, %d open\n",
+                static_cast<unsigned long long>(r.starts), r.most_running, r.running_asked, r.done,
+                r.open);
+  out += Format("%-10s %6s %8s %9s %9s %9s %11s  cores (memory, MB) by role\n", "phase", "span s",
+                "starts/s", "reports/s", "changes/s", "turn ms", "worker B/s");
   for (const PhaseUsage& phase : r.phases) {
-    out += Line("%-10s %6.1f %8.1f %9.1f %9.1f %9.1f %11.0f ", phase.name.c_str(), phase.span_s,
-                phase.starts_per_s, phase.reports_per_s, phase.state_changes_per_s,
-                phase.longest_turn_ms, phase.worker_bytes_per_s);
+    out += Format("%-10s %6.1f %8.1f %9.1f %9.1f %9.1f %11.0f ", phase.name.c_str(), phase.span_s,
+                  phase.starts_per_s, phase.reports_per_s, phase.state_changes_per_s,
+                  phase.longest_turn_ms, phase.worker_bytes_per_s);
     for (const auto& [role, cores] : phase.cores) {
-      out += Line(" %s %.3f (%.0f)", role.c_str(), cores, phase.resident_mb.at(role));
+      out += Format(" %s %.3f (%.0f)", role.c_str(), cores, phase.resident_mb.at(role));
     }
     out += "\n";
   }
   for (const auto& [lane, wait] : r.waits) {
-    out += Line(
+    out += Format(
         "%-10s %d jobs, %d started whole; first task within %.2f s (half), %.2f s (90%%); "
         "last within %.2f s (half), %.2f s (90%%), %.2f s (all)\n",
         lane.c_str(), wait.submitted, wait.started_whole, wait.first_p50_s, wait.first_p90_s,
         wait.last_p50_s, wait.last_p90_s, wait.last_max_s);
   }
-  out += Line(
+  out += Format(
       "answers to users %.1f ms (half), %.1f ms (99%%); to reports %.1f ms, %.1f ms; "
       "%.0f MB, %d processes at most\n",
       r.answer_p50_ms, r.answer_p99_ms, r.report_p50_ms, r.report_p99_ms, r.most_memory_mb,
       r.most_processes);
   size_t shown = 0;
   for (const rehearsal::Broken& b : r.broken) {
-    if (++shown > kBrokenShown) break;
-    out += "broken: " + b.rule + Line(" at %.3f s: ", b.at_s) + b.detail + "\n";
+    if (++shown > kMaxViolationsShown) break;
+    out += "broken: " + b.rule + Format(" at %.3f s: ", b.at_s) + b.detail + "\n";
   }
-  if (r.broken.size() > kBrokenShown) {
-    out += Line("and %zu more\n", r.broken.size() - kBrokenShown);
+  if (r.broken.size() > kMaxViolationsShown) {
+    out += Format("and %zu more\n", r.broken.size() - kMaxViolationsShown);
   }
   if (!r.stopped.empty()) out += "stopped early: " + r.stopped + "\n";
   return out;
--- a/src/scale/core/report.h
+++ b/src/scale/core/report.h
@@ -45,7 +45,7 @@
   double reports_per_s = 0, starts_per_s = 0;
   double worker_bytes_per_s = 0;  // per worker, in both directions
 };
-PhaseUsage Between(const Sample& from, const Sample& to, int workers);
+PhaseUsage UsageBetween(const Sample& from, const Sample& to, int workers);
 
 struct Report {
   std::string plan;
@@ -72,7 +72,7 @@
   const PhaseUsage* Phase(const std::string& name) const;
 };
 
-Report::Wait WaitOf(const StartTimes::Lane& lane);
+Report::Wait SummarizeWaits(const StartTimes::ClassTimes& lane);
 std::string ToJson(const Report& report);
 std::string ToTable(const Report& report);
 
--- a/src/scale/core/slopes.cpp
+++ b/src/scale/core/slopes.cpp
@@ -43,28 +43,28 @@
   const Eigen::MatrixXd inverse = normal.completeOrthogonalDecomposition().pseudoInverse();
   const Eigen::VectorXd solution =
       scaled.colPivHouseholderQr().solve(measured).cwiseQuotient(lengths);
-  const Eigen::VectorXd left = measured - terms * solution;
-  const double variance = left.squaredNorm() / static_cast<double>(count - kColumns);
+  const Eigen::VectorXd residuals = measured - terms * solution;
+  const double variance = residuals.squaredNorm() / static_cast<double>(count - kColumns);
   Fit fit;
-  fit.base = solution(0);
+  fit.intercept = solution(0);
   for (Eigen::Index k = 1; k < kColumns; ++k) {
     fit.slopes.push_back(solution(k));
-    fit.errors.push_back(std::sqrt(variance * inverse(k, k)) / lengths(k));
+    fit.standard_errors.push_back(std::sqrt(variance * inverse(k, k)) / lengths(k));
   }
-  fit.spread = std::sqrt(variance);
+  fit.residual_deviation = std::sqrt(variance);
   const double total = (measured.array() - measured.mean()).square().sum();
-  fit.r_squared = total > 0 ? 1 - left.squaredNorm() / total : 1;
+  fit.r_squared = total > 0 ? 1 - residuals.squaredNorm() / total : 1;
   std::map<std::string, double> largest;
   for (const Row& row : rows) largest[row.axis] = std::max(largest[row.axis], row.size);
   for (const auto& [axis, size] : largest) {
-    double over = 0, all = 0;
+    double residual_sum = 0, measured_sum = 0;
     for (Eigen::Index i = 0; i < count; ++i) {
       const Row& row = rows[static_cast<size_t>(i)];
       if (row.axis != axis || row.size != size) continue;
-      over += left(i);
-      all += measured(i);
+      residual_sum += residuals(i);
+      measured_sum += measured(i);
     }
-    fit.bend[axis] = all != 0 ? over / all : 0;
+    fit.nonlinearity[axis] = measured_sum != 0 ? residual_sum / measured_sum : 0;
   }
   return fit;
 }
@@ -122,16 +122,16 @@
 std::vector<Row> ParseRows(const std::string& text, const std::string& file) {
   std::vector<Row> rows;
   std::istringstream in(text);
-  int number = 0;
+  int line_number = 0;
   for (std::string line; std::getline(in, line);) {
-    ++number;
+    ++line_number;
     rapidjson::Document doc;
-    const bool good = wire::ParseObject(line, &doc);
-    const wire::Value* load = good ? wire::Find(doc, "load") : nullptr;
-    const wire::Value* measures = good ? wire::Find(doc, "measures") : nullptr;
+    const bool parsed = wire::ParseObject(line, &doc);
+    const wire::Value* load = parsed ? wire::Find(doc, "load") : nullptr;
+    const wire::Value* measures = parsed ? wire::Find(doc, "measures") : nullptr;
     if (!load || !load->IsArray() || load->Size() != kLoadTerms || !measures ||
         !measures->IsObject()) {
-      throw config::Error(file + ": line " + std::to_string(number) +
+      throw config::Error(file + ": line " + std::to_string(line_number) +
                           ": expected a row written by `badgershore-scale sweep`");
     }
     Row row;
@@ -152,8 +152,8 @@
   return rows;
 }
 
-double Fit::At(const Load& load) const {
-  double sum = base;
+double Fit::Estimate(const Load& load) const {
+  double sum = intercept;
   const std::vector<double> terms = TermsOf(load);
   for (size_t k = 0; k < slopes.size(); ++k) sum += slopes[k] * terms[k];
   return sum;
--- a/src/scale/core/slopes.h
+++ b/src/scale/core/slopes.h
@@ -42,16 +42,16 @@
 std::vector<Row> ParseRows(const std::string& text, const std::string& file);
 
 struct Fit {
-  double base = 0;             // the intercept, the value without load
-  std::vector<double> slopes;  // one per load term
-  std::vector<double> errors;  // standard error of each slope
-  double spread = 0;           // standard deviation of the residuals
+  double intercept = 0;                 // the value without load
+  std::vector<double> slopes;           // one per load term
+  std::vector<double> standard_errors;  // standard error of each slope
+  double residual_deviation = 0;        // standard deviation of the residuals
   double r_squared = 0;
   // The mean residual at the largest size of each axis, as a share of the measured mean. A value
   // far from 0 means that the measure is not linear in the load.
-  std::map<std::string, double> bend;
+  std::map<std::string, double> nonlinearity;
 
-  double At(const Load& load) const;
+  double Estimate(const Load& load) const;
 };
 // Fits every measure. Throws config::Error if there are too few rows for the number of terms.
 std::map<std::string, Fit> FitAll(const std::vector<Row>& rows);
--- a/src/scale/core/start_times.cpp
+++ b/src/scale/core/start_times.cpp
@@ -15,15 +15,15 @@
 
 }  // namespace
 
-void StartTimes::See(const Event& event) {
-  if (first_us_ < 0) first_us_ = event.at_us;
+void StartTimes::OnEvent(const Event& event) {
+  if (first_event_us_ < 0) first_event_us_ = event.at_us;
   switch (event.kind) {
     case Event::Kind::kSubmitted:
       jobs_[event.job] = {event.facts.lane, event.facts.tasks, event.at_us, {}};
-      ++lanes_[event.facts.lane].submitted;
+      ++classes_[event.facts.lane].submitted;
       return;
     case Event::Kind::kTaskOn:
-      return Started(event);
+      return OnTaskStarted(event);
     case Event::Kind::kTaskOff:
       --running_;
       return;
@@ -32,22 +32,22 @@
   }
 }
 
-void StartTimes::Started(const Event& event) {
+void StartTimes::OnTaskStarted(const Event& event) {
   ++starts_;
   most_running_ = std::max(most_running_, ++running_);
-  const auto second = static_cast<size_t>((event.at_us - first_us_) / kSecondUs);
+  const auto second = static_cast<size_t>((event.at_us - first_event_us_) / kSecondUs);
   if (second >= per_second_.size()) per_second_.resize(second + 1);
   ++per_second_[second];
   const auto found = jobs_.find(event.job);
   if (found == jobs_.end()) return;  // a restart: all tasks of the job have been started before
-  Job& job = found->second;
-  Lane& lane = lanes_[job.lane];
+  WaitingJob& job = found->second;
+  ClassTimes& times = classes_[job.job_class];
   const double waited_s = SecondsBetween(job.submitted_us, event.at_us);
-  if (job.started.empty()) lane.first_start.Add(waited_s);
+  if (job.started.empty()) times.first_start.Add(waited_s);
   job.started.insert(event.task);
   if (static_cast<int>(job.started.size()) < job.tasks) return;
-  lane.last_start.Add(waited_s);
-  ++lane.started_whole;
+  times.last_start.Add(waited_s);
+  ++times.started_whole;
   jobs_.erase(found);
 }
 
--- a/src/scale/core/start_times.h
+++ b/src/scale/core/start_times.h
@@ -14,15 +14,15 @@
 
 class StartTimes {
  public:
-  struct Lane {
+  struct ClassTimes {
     stats::Durations first_start;  // from submission to the start of the first task
     stats::Durations last_start;   // from submission until every task has been started once
     int submitted = 0, started_whole = 0;
   };
 
-  void See(const rehearsal::Event& event);
+  void OnEvent(const rehearsal::Event& event);
 
-  const std::map<std::string, Lane>& lanes() const { return lanes_; }
+  const std::map<std::string, ClassTimes>& classes() const { return classes_; }
   int running() const { return running_; }
   int most_running() const { return most_running_; }
   uint64_t starts() const { return starts_; }
@@ -32,18 +32,18 @@
   double busiest_mean(size_t span_s) const;
 
  private:
-  struct Job {
-    std::string lane;
+  struct WaitingJob {
+    std::string job_class;
     int tasks = 0;
     int64_t submitted_us = 0;
     std::set<int> started;
   };
-  void Started(const rehearsal::Event& event);
+  void OnTaskStarted(const rehearsal::Event& event);
 
-  std::map<std::string, Job> jobs_;  // jobs with tasks that have not been started yet
-  std::map<std::string, Lane> lanes_;
+  std::map<std::string, WaitingJob> jobs_;  // jobs with tasks that have not been started yet
+  std::map<std::string, ClassTimes> classes_;
   std::vector<int> per_second_;
-  int64_t first_us_ = -1;
+  int64_t first_event_us_ = -1;
   int running_ = 0, most_running_ = 0;
   uint64_t starts_ = 0;
 };
--- a/src/scale/process_usage.cpp
+++ b/src/scale/process_usage.cpp
@@ -12,7 +12,7 @@
 constexpr double kKbPerMb = 1024;
 
 // Returns the value of the line `NAME:   123 kB` in `file`, 0 if there is none.
-double KbOf(const std::string& file, const std::string& name) {
+double ReadKb(const std::string& file, const std::string& name) {
   std::ifstream in(file);
   for (std::string line; std::getline(in, line);) {
     if (line.rfind(name + ":", 0) == 0) return std::atof(line.c_str() + name.size() + 1);
@@ -38,11 +38,11 @@
   fields >> user_ticks >> system_ticks;
   ProcessUsage usage;
   usage.cpu_s = (user_ticks + system_ticks) / static_cast<double>(::sysconf(_SC_CLK_TCK));
-  usage.resident_mb = KbOf(folder + "/status", "VmRSS") / kKbPerMb;
-  usage.peak_mb = KbOf(folder + "/status", "VmHWM") / kKbPerMb;
+  usage.resident_mb = ReadKb(folder + "/status", "VmRSS") / kKbPerMb;
+  usage.peak_mb = ReadKb(folder + "/status", "VmHWM") / kKbPerMb;
   return usage;
 }
 
-double MachineMemoryMb() { return KbOf("/proc/meminfo", "MemTotal") / kKbPerMb; }
+double MachineMemoryMb() { return ReadKb("/proc/meminfo", "MemTotal") / kKbPerMb; }
 
 }  // namespace badgershore::scale
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -16,9 +16,9 @@
 namespace badgershore::scale {
 namespace {
 
-constexpr Micros kLook = Seconds(1);
-constexpr Micros kStateBack = Seconds(5);
-constexpr size_t kBestSpanS = 10;
+constexpr Micros kCheckInterval = Seconds(1);
+constexpr Micros kStateRestartDelay = Seconds(5);
+constexpr size_t kBestWindowS = 10;
 constexpr http::Limits kAnswerLimits{8 * 1024, 16 * 1024, 1024 * 1024};
 // For each worker: a listener, a connection, and one for direct calls. The rest is for users and
 // files.
@@ -53,18 +53,18 @@
   std::string phase;  // the phase that begins at this time
 };
 
-std::vector<Boundary> BoundariesOf(const Plan& plan, Micros began) {
+std::vector<Boundary> BoundariesOf(const Plan& plan, Micros start) {
   const Phases& phases = plan.phases;
-  const Micros peak_from = began + phases.ramp + phases.steady;
-  std::vector<Boundary> out = {{began + phases.ramp, "steady"}, {peak_from, "peak"}};
+  const Micros peak_from = start + phases.ramp + phases.steady;
+  std::vector<Boundary> out = {{start + phases.ramp, "steady"}, {peak_from, "peak"}};
   // Sampled just before the first fault, which is injected in the middle of the peak.
   if (plan.faults.any())
     out.push_back({peak_from + phases.peak.Scaled(0.5) - Millis(200), "faults"});
-  out.push_back({began + phases.load(), "settle"});
+  out.push_back({start + phases.load(), "settle"});
   return out;
 }
 
-ProcessSample SampleOf(const ProcessUsage& usage) {
+ProcessSample ToProcessSample(const ProcessUsage& usage) {
   return {usage.cpu_s, usage.resident_mb, usage.peak_mb};
 }
 
@@ -80,7 +80,7 @@
   site.state_replicas = plan_.state_replicas;
   site.controller_options = ControllerOptions(plan_);
   site_ = std::make_unique<rehearsal::Site>(&loop_, scenario_, std::move(site));
-  site_->on_event = [this](const rehearsal::Event& event) { start_times_.See(event); };
+  site_->on_event = [this](const rehearsal::Event& event) { start_times_.OnEvent(event); };
   site_->OnProcessEnded([this](const std::string& name, int status) {
     const bool killed = WIFSIGNALED(status) && WTERMSIG(status) == SIGKILL;
     if (ending_ || (killed && plan_.faults.any())) return;
@@ -88,24 +88,24 @@
                                 ? "signal " + std::to_string(WTERMSIG(status))
                                 : "exit code " + std::to_string(WEXITSTATUS(status));
     process_ends_.push_back(
-        {"process_ended", (io::Loop::Now() - began_).ToSeconds(), name + ": " + how});
+        {"process_ended", (io::Loop::Now() - start_).ToSeconds(), name + ": " + how});
   });
 }
 
-Report Run::Play() {
-  began_ = io::Loop::Now();
+Report Run::Execute() {
+  start_ = io::Loop::Now();
   const auto started = site_->Start([this] { loop_.Stop(); });
   if (!started) throw config::Error(started.error().message);
-  io::OnEndSignals(&loop_, [this] { Stop("interrupted"); });
+  io::OnTerminationSignal(&loop_, [this] { Stop("interrupted"); });
   io::Spawn(Measure());
   loop_.Run();
   if (options_.progress) std::fprintf(stderr, "\n");
-  return Summary();
+  return MakeReport();
 }
 
 void Run::Stop(const std::string& why) {
   if (std::exchange(ending_, true)) return;
-  stopped_ = why;
+  stop_reason_ = why;
   site_->Stop();
 }
 
@@ -118,14 +118,14 @@
 
 io::Task<Sample> Run::TakeSample(std::string phase) {
   Sample sample;
-  sample.at_s = (io::Loop::Now() - began_).ToSeconds();
+  sample.at_s = (io::Loop::Now() - start_).ToSeconds();
   sample.phase = std::move(phase);
   const site::Processes& processes = site_->processes();
   for (size_t child = 0; child < processes.size(); ++child) {
     const auto usage = ReadUsage(processes.pid(child));
-    if (usage) sample.processes[site_->ProcessName(child)] = SampleOf(*usage);
+    if (usage) sample.processes[site_->ProcessName(child)] = ToProcessSample(*usage);
   }
-  if (const auto own = ReadUsage(::getpid())) sample.processes["hollow"] = SampleOf(*own);
+  if (const auto own = ReadUsage(::getpid())) sample.processes["hollow"] = ToProcessSample(*own);
   sample.reports = site_->report_traffic().requests;
   sample.report_bytes = site_->report_traffic().sent + site_->report_traffic().received;
   sample.starts = start_times_.starts();
@@ -147,7 +147,7 @@
 }
 
 // The replica that serves the state service; the first one if none reports that it does.
-io::Task<size_t> Run::ServingState() {
+io::Task<size_t> Run::FindServingReplica() {
   const std::vector<std::string>& addresses = site_->state_addresses();
   for (size_t replica = 0; replica < addresses.size(); ++replica) {
     const std::string status = co_await Fetch(addresses[replica], "/replica/status");
@@ -161,7 +161,7 @@
 io::Task<bool> Run::WaitUntil(Micros at) {
   while (!ending_ && io::Loop::Now() < at) {
     CheckBounds();
-    co_await loop_.Sleep(std::min(kLook, at - io::Loop::Now()));
+    co_await loop_.Sleep(std::min(kCheckInterval, at - io::Loop::Now()));
   }
   co_return !ending_;
 }
@@ -169,15 +169,15 @@
 io::Task<void> Run::Measure() {
   const Sample first = co_await TakeSample("ramp");
   samples_.push_back(first);
-  for (const Boundary& boundary : BoundariesOf(plan_, began_)) {
+  for (const Boundary& boundary : BoundariesOf(plan_, start_)) {
     ShowProgress(samples_.back().phase);
-    const bool goes_on = co_await WaitUntil(boundary.at);
-    if (!goes_on) co_return;
+    const bool still_running = co_await WaitUntil(boundary.at);
+    if (!still_running) co_return;
     const Sample sample = co_await TakeSample(boundary.phase);
     samples_.push_back(sample);
     if (boundary.phase != "faults" || !plan_.faults.lose_state) continue;
-    const size_t serving = co_await ServingState();
-    site_->LoseState(serving, kStateBack);
+    const size_t serving = co_await FindServingReplica();
+    site_->LoseState(serving, kStateRestartDelay);
   }
   // The site ends by itself when all jobs have ended or the settle time has passed.
   while (!ending_ && !site_->world().over()) {
@@ -209,12 +209,12 @@
 void Run::ShowProgress(const std::string& phase) const {
   if (!options_.progress) return;
   std::fprintf(stderr, "\r%-8s %5.0f s  %7llu starts  %6d running  %6.0f MB   ", phase.c_str(),
-               (io::Loop::Now() - began_).ToSeconds(),
+               (io::Loop::Now() - start_).ToSeconds(),
                static_cast<unsigned long long>(start_times_.starts()), start_times_.running(),
                most_memory_mb_);
 }
 
-Report Run::Summary() {
+Report Run::MakeReport() {
   const rehearsal::Result result = site_->world().End();
   Report report;
   report.plan = plan_.name;
@@ -222,14 +222,15 @@
   report.teams = plan_.teams;
   report.starts_asked_per_s = plan_.starts_per_s;
   report.running_asked = plan_.running_tasks();
-  report.starts_reached_per_s = start_times_.busiest_mean(kBestSpanS);
+  report.starts_reached_per_s = start_times_.busiest_mean(kBestWindowS);
   report.busiest_second = start_times_.busiest_second();
   report.most_running = start_times_.most_running();
   report.starts = start_times_.starts();
   for (size_t i = 1; i < samples_.size(); ++i) {
-    report.phases.push_back(Between(samples_[i - 1], samples_[i], plan_.workers));
+    report.phases.push_back(UsageBetween(samples_[i - 1], samples_[i], plan_.workers));
   }
-  for (const auto& [lane, times] : start_times_.lanes()) report.waits[lane] = WaitOf(times);
+  for (const auto& [lane, times] : start_times_.classes())
+    report.waits[lane] = SummarizeWaits(times);
   report.answer_p50_ms = site_->user_traffic().waits.Quantile(0.5) * 1000;
   report.answer_p99_ms = site_->user_traffic().waits.Quantile(0.99) * 1000;
   report.report_p50_ms = site_->report_traffic().waits.Quantile(0.5) * 1000;
@@ -240,7 +241,7 @@
   report.open = result.open;
   report.broken = result.broken;
   report.broken.insert(report.broken.end(), process_ends_.begin(), process_ends_.end());
-  report.stopped = stopped_;
+  report.stopped = stop_reason_;
   return report;
 }
 
--- a/src/scale/run.h
+++ b/src/scale/run.h
@@ -26,18 +26,18 @@
   // descriptors.
   Run(const Plan& plan, RunOptions options);
   // Returns when all started processes have ended. Throws config::Error if the site can't start.
-  Report Play();
+  Report Execute();
 
  private:
   io::Task<void> Measure();
   io::Task<bool> WaitUntil(Micros at);
   io::Task<Sample> TakeSample(std::string phase);
-  io::Task<size_t> ServingState();
+  io::Task<size_t> FindServingReplica();
   io::Task<std::string> Fetch(std::string address, std::string target);
   void CheckBounds();
   void ShowProgress(const std::string& phase) const;
   void Stop(const std::string& why);
-  Report Summary();
+  Report MakeReport();
 
   Plan plan_;
   RunOptions options_;
@@ -47,10 +47,10 @@
   StartTimes start_times_;
   std::vector<Sample> samples_;
   std::vector<rehearsal::Broken> process_ends_;
-  Micros began_;
+  Micros start_;
   double most_memory_mb_ = 0;
   int most_processes_ = 0;
-  std::string stopped_;  // the reason for an early end; empty: none
+  std::string stop_reason_;  // the reason for an early end; empty: none
   bool ending_ = false;
 };
 
--- a/src/site/core/supervise.h
+++ b/src/site/core/supervise.h
@@ -24,21 +24,21 @@
 
   std::vector<Action> Tick(Micros now);
   void OnEnded(Micros now, size_t child);
-  // Kills a child; it is restarted after `back_after`.
-  Action Kill(Micros now, size_t child, Micros back_after);
+  // Kills a child; it is restarted after `restart_after`.
+  Action Kill(Micros now, size_t child, Micros restart_after);
   // Stops all children, last stage first, and starts none from now on.
   void Stop(Micros now) { stop_at_ = std::min(stop_at_, now); }
 
   bool running(size_t child) const { return children_[child].running; }
   int starts(size_t child) const { return children_[child].starts; }
-  bool over() const;
+  bool all_stopped() const;
 
  private:
   struct Child {
     int stage = 0;
-    bool running = false, told = false, killed = false;
+    bool running = false, sigterm_sent = false, sigkill_sent = false;
     int starts = 0;
-    Micros start_at, started_at, told_at, pause = Millis(500);
+    Micros start_at, started_at, sigterm_sent_at, restart_delay = Millis(500);
   };
   std::vector<Child> children_;
   Micros stop_at_ = kNever;
--- a/src/site/process.cpp
+++ b/src/site/process.cpp
@@ -23,10 +23,10 @@
 }
 
 // The kernel kills the child (PR_SET_PDEATHSIG) when this process ends for any reason.
-pid_t SpawnChild(const std::vector<std::string>& words, const std::string& log_file) {
+pid_t SpawnChild(const std::vector<std::string>& arguments, const std::string& log_file) {
   std::vector<char*> argv;
-  argv.reserve(words.size() + 1);
-  for (const std::string& a : words) argv.push_back(const_cast<char*>(a.c_str()));
+  argv.reserve(arguments.size() + 1);
+  for (const std::string& a : arguments) argv.push_back(const_cast<char*>(a.c_str()));
   argv.push_back(nullptr);
   const pid_t parent = ::getpid();
   const pid_t pid = ::fork();
@@ -51,7 +51,7 @@
       pids_(commands_.size(), 0),
       supervisor_(Stages(commands_)) {}
 
-void Processes::Do(const Supervisor::Action& action) {
+void Processes::Execute(const Supervisor::Action& action) {
   pid_t& pid = pids_[action.child];
   switch (action.kind) {
     case Supervisor::Action::Kind::kStart:
@@ -66,14 +66,16 @@
   }
 }
 
-void Processes::Start(std::function<void()> over) { io::Spawn(Watch(std::move(over))); }
+void Processes::Start(std::function<void()> on_all_ended) {
+  io::Spawn(Watch(std::move(on_all_ended)));
+}
 void Processes::Stop() { supervisor_.Stop(io::Loop::Now()); }
-void Processes::Kill(size_t child, Micros back_after) {
-  Do(supervisor_.Kill(io::Loop::Now(), child, back_after));
+void Processes::Kill(size_t child, Micros restart_after) {
+  Execute(supervisor_.Kill(io::Loop::Now(), child, restart_after));
 }
 
-io::Task<void> Processes::Watch(std::function<void()> over) {
-  while (!supervisor_.over()) {
+io::Task<void> Processes::Watch(std::function<void()> on_all_ended) {
+  while (!supervisor_.all_stopped()) {
     for (size_t i = 0; i < pids_.size(); ++i) {
       int status = 0;
       if (pids_[i] <= 0 || ::waitpid(pids_[i], &status, WNOHANG) != pids_[i]) continue;
@@ -81,10 +83,10 @@
       supervisor_.OnEnded(io::Loop::Now(), i);
       if (on_ended) on_ended(commands_[i].name, status);
     }
-    for (const Supervisor::Action& a : supervisor_.Tick(io::Loop::Now())) Do(a);
+    for (const Supervisor::Action& a : supervisor_.Tick(io::Loop::Now())) Execute(a);
     co_await loop_->Sleep(Millis(50));
   }
-  over();
+  on_all_ended();
 }
 
 int RunToEnd(const std::vector<std::string>& argv, const std::string& log_file) {
@@ -99,14 +101,14 @@
 constexpr int kFirstPort = 10000;
 
 // The first port of the ephemeral range, which outgoing connections use.
-int FirstOutgoingPort() {
-  constexpr int kUsual = 32768;
+int FirstEphemeralPort() {
+  constexpr int kDefaultFirstPort = 32768;
   std::ifstream in("/proc/sys/net/ipv4/ip_local_port_range");
-  int first = kUsual;
-  return in >> first && first > kFirstPort ? first : kUsual;
+  int first = kDefaultFirstPort;
+  return in >> first && first > kFirstPort ? first : kDefaultFirstPort;
 }
 
-bool Free(int port) {
+bool IsFree(int port) {
   const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   sockaddr_in address{};
   address.sin_family = AF_INET;
@@ -120,14 +122,14 @@
 }  // namespace
 
 std::string FreeAddress() {
-  static const int ports = FirstOutgoingPort() - kFirstPort;
+  static const int ports = FirstEphemeralPort() - kFirstPort;
   // Starts at a port that depends on the process id, so that sites that start at the same time do
   // not try the same ports.
   static int next = static_cast<int>(::getpid() * 37 % ports);
   for (int tries = 0; tries < ports; ++tries) {
     const int port = kFirstPort + next;
     next = (next + 1) % ports;
-    if (Free(port)) return "127.0.0.1:" + std::to_string(port);
+    if (IsFree(port)) return "127.0.0.1:" + std::to_string(port);
   }
   throw std::runtime_error("no free loopback port below the ephemeral port range");
 }
--- a/src/site/process.h
+++ b/src/site/process.h
@@ -23,18 +23,19 @@
 class Processes {
  public:
   Processes(io::Loop* loop, std::vector<Command> commands);
-  // Starts all processes and restarts those that end. After Stop, calls `over` once all have ended.
-  void Start(std::function<void()> over);
+  // Starts all processes and restarts those that end. After Stop, calls `on_all_ended` once all
+  // have ended.
+  void Start(std::function<void()> on_all_ended);
   void Stop();
-  void Kill(size_t child, Micros back_after);
+  void Kill(size_t child, Micros restart_after);
   size_t size() const { return pids_.size(); }
   pid_t pid(size_t child) const { return pids_[child]; }  // 0: not running
   // Called with the wait status of each child that ends.
   std::function<void(const std::string& name, int status)> on_ended;
 
  private:
-  io::Task<void> Watch(std::function<void()> over);
-  void Do(const Supervisor::Action& action);
+  io::Task<void> Watch(std::function<void()> on_all_ended);
+  void Execute(const Supervisor::Action& action);
 
   io::Loop* loop_;
   std::vector<Command> commands_;
--- a/src/site/relay.cpp
+++ b/src/site/relay.cpp
@@ -3,7 +3,8 @@
 namespace badgershore::site {
 namespace {
 constexpr http::Limits kLimits{8 * 1024, 16 * 1024, 1024 * 1024};
-constexpr Micros kProbeEvery = Seconds(1), kProbeTimeout = Seconds(1), kAnswer = Seconds(70);
+constexpr Micros kProbeInterval = Seconds(1), kProbeTimeout = Seconds(1),
+                 kRequestTimeout = Seconds(70);
 }  // namespace
 
 Relay::Relay(io::Loop* loop, std::vector<std::string> nodes)
@@ -33,17 +34,17 @@
     const http::ClientAnswer a = co_await client.Request("GET", "/healthz", "", kProbeTimeout);
     balancer_.OnProbe(io::Loop::Now(), node, a.answered() && a.status == 200);
     // Until the first node is healthy, as at the start, probe more often.
-    const Micros every = ready() ? kProbeEvery : Millis(100);
+    const Micros every = ready() ? kProbeInterval : Millis(100);
     co_await loop_->Sleep(std::max(Millis(20), start + every - io::Loop::Now()));
   }
 }
 
 io::Task<http::ServerAnswer> Relay::Handle(http::Message request) {
-  for (const size_t node : balancer_.Order(io::Loop::Now(), ++turn_)) {
+  for (const size_t node : balancer_.Order(io::Loop::Now(), ++request_count_)) {
     http::Client client(loop_, nodes_[node], 0, kLimits);
     balancer_.OnOpen(node);
     http::ClientAnswer a =
-        co_await client.Request(request.method, request.target, request.body, kAnswer);
+        co_await client.Request(request.method, request.target, request.body, kRequestTimeout);
     balancer_.OnClose(node);
     const bool sent = a.outcome != http::ClientAnswer::Outcome::kNotSent;
     balancer_.OnConnect(io::Loop::Now(), node, sent);
--- a/src/site/relay.h
+++ b/src/site/relay.h
@@ -29,7 +29,7 @@
   io::Loop* loop_;
   std::vector<std::string> nodes_;
   Balancer balancer_;
-  uint64_t turn_ = 0;
+  uint64_t request_count_ = 0;
   http::Server server_;
 };
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -63,8 +63,8 @@
   for (const config::JobClass& c : scenario.classes) {
     const int jobs = static_cast<int>(c.per_minute * (c.until - c.from).ToSeconds() / 60);
     EXPECT_GT(jobs, 0) << "a job class has no jobs";
-    if (c.spec.job_class == kUrgentLane) urgent_jobs += jobs;
-    if (c.spec.job_class == kBatchLane && c.until == Seconds(19))
+    if (c.spec.job_class == kUrgentClass) urgent_jobs += jobs;
+    if (c.spec.job_class == kBatchClass && c.until == Seconds(19))
       peak_tasks += jobs * c.least_tasks;
   }
   EXPECT_EQ(peak_tasks, 200);  // 20 per second for 10 s
@@ -82,21 +82,21 @@
   text = kPlan;
   text.replace(text.find("[2, 4]"), 6, "[0]");
   EXPECT_NE(ErrorOf(text).find("gang_sizes"), std::string::npos);
-  EXPECT_THROW(WithAxis(ParsePlan(kPlan, "p"), "tims", 3), config::Error);
-  EXPECT_THROW(WithAxis(ParsePlan(kPlan, "p"), "teams", 0), config::Error);
-  EXPECT_EQ(WithAxis(ParsePlan(kPlan, "p"), "gang_size", 64).urgent.gang_sizes,
+  EXPECT_THROW(VaryPlan(ParsePlan(kPlan, "p"), "tims", 3), config::Error);
+  EXPECT_THROW(VaryPlan(ParsePlan(kPlan, "p"), "teams", 0), config::Error);
+  EXPECT_EQ(VaryPlan(ParsePlan(kPlan, "p"), "gang_size", 64).urgent.gang_sizes,
             std::vector<int>{64});
 }
 
 TEST(StartTimes, MeasuresWaitForFirstAndLastTask) {
   StartTimes times;
-  times.See(Submitted(10, "job-1", "batch", 2));
-  times.See(At(12, Event::Kind::kTaskOn, "job-1", 0));
-  times.See(At(13, Event::Kind::kTaskOn, "job-1", 0));  // a restart of the first task
-  EXPECT_EQ(times.lanes().at("batch").started_whole, 0);
-  times.See(At(18, Event::Kind::kTaskOn, "job-1", 1));
-  times.See(At(19, Event::Kind::kTaskOff, "job-1", 1));
-  const StartTimes::Lane& lane = times.lanes().at("batch");
+  times.OnEvent(Submitted(10, "job-1", "batch", 2));
+  times.OnEvent(At(12, Event::Kind::kTaskOn, "job-1", 0));
+  times.OnEvent(At(13, Event::Kind::kTaskOn, "job-1", 0));  // a restart of the first task
+  EXPECT_EQ(times.classes().at("batch").started_whole, 0);
+  times.OnEvent(At(18, Event::Kind::kTaskOn, "job-1", 1));
+  times.OnEvent(At(19, Event::Kind::kTaskOff, "job-1", 1));
+  const StartTimes::ClassTimes& lane = times.classes().at("batch");
   EXPECT_EQ(lane.started_whole, 1);
   EXPECT_NEAR(lane.first_start.Quantile(0.5), 2, 0.15);
   EXPECT_NEAR(lane.last_start.longest(), 8, 1e-9);
@@ -122,7 +122,7 @@
   to.leader_counters["badgershore_loop_longest_turn_seconds"] = 0.025;
   from.report_bytes = 1000;
   to.report_bytes = 21000;
-  const PhaseUsage phase = Between(from, to, 10);
+  const PhaseUsage phase = UsageBetween(from, to, 10);
   EXPECT_NEAR(phase.cores.at("leader"), 0.4, 1e-9);
   EXPECT_NEAR(phase.cores.at("standby"), 0.1, 1e-9);
   EXPECT_NEAR(phase.resident_mb.at("leader"), 30, 1e-9);
@@ -166,21 +166,21 @@
 
 TEST(Slopes, FitRecoversKnownCoefficients) {
   const Fit fit = FitAll(RowsOf(4e-5, 2e-4)).at("leader cores");
-  EXPECT_NEAR(fit.base, 0.01, 1e-6);
+  EXPECT_NEAR(fit.intercept, 0.01, 1e-6);
   EXPECT_NEAR(fit.slopes[0], 4e-5, 1e-9);
   EXPECT_NEAR(fit.slopes[1], 2e-4, 1e-9);
   EXPECT_NEAR(fit.r_squared, 1, 1e-9);
   Load planned;
   planned.workers = 2000;
   planned.starts_per_s = 1600;
-  EXPECT_NEAR(fit.At(planned), 0.01 + 0.08 + 0.32, 1e-6);
+  EXPECT_NEAR(fit.Estimate(planned), 0.01 + 0.08 + 0.32, 1e-6);
 }
 
 TEST(Slopes, ReportNonlinearCosts) {
   const Fit straight = FitAll(RowsOf(4e-5, 2e-4)).at("leader cores");
   const Fit bent = FitAll(RowsOf(4e-5, 2e-4, 1e-7)).at("leader cores");
-  EXPECT_NEAR(straight.bend.at("workers"), 0, 1e-6);
-  EXPECT_GT(bent.bend.at("workers"), 0.02);
+  EXPECT_NEAR(straight.nonlinearity.at("workers"), 0, 1e-6);
+  EXPECT_GT(bent.nonlinearity.at("workers"), 0.02);
 }
 
 TEST(Slopes, RowsRoundTripThroughJson) {
@@ -200,9 +200,9 @@
 TEST(Capacity, TablesReplaceOnlyTextBetweenMarkers) {
   const std::string begin = "<!-- badgershore-scale capacity: begin -->\n";
   const std::string end = "<!-- badgershore-scale capacity: end -->\n";
-  EXPECT_EQ(WithTables("a\n" + begin + "old\n" + end + "z\n", "new\n"),
+  EXPECT_EQ(ReplaceTables("a\n" + begin + "old\n" + end + "z\n", "new\n"),
             "a\n" + begin + "new\n" + end + "z\n");
-  EXPECT_THROW(WithTables("a\n", "new\n"), config::Error);
+  EXPECT_THROW(ReplaceTables("a\n", "new\n"), config::Error);
 }
 
 TEST(Capacity, ReportsShareOfWorkerBudget) {
--- a/tests/site_test.cpp
+++ b/tests/site_test.cpp
@@ -87,12 +87,12 @@
   ASSERT_EQ(did.size(), 1u);
   EXPECT_EQ(did[0].kind, Kind::kKill);
   s.OnEnded(now, 1);
-  EXPECT_FALSE(s.over());
+  EXPECT_FALSE(s.all_stopped());
   did = s.Tick(now);
   ASSERT_EQ(did.size(), 1u);
   EXPECT_EQ(did[0].child, 0u);
   s.OnEnded(now, 0);
-  EXPECT_TRUE(s.over());
+  EXPECT_TRUE(s.all_stopped());
   EXPECT_TRUE(s.Tick(now += Seconds(60)).empty());  // no child is restarted after Stop
 }
 
