--- a/src/io/mailbox.cpp
+++ b/src/io/mailbox.cpp
@@ -10,7 +10,7 @@
 namespace badgershore::io {
 namespace {
 
-// Makes a connected socket pair: a byte written to `*outside`, by any thread or signal handler,
+// Makes a connected socket pair: a byte sent to `*writer_fd`, by any thread or signal handler,
 // wakes the reader of the returned socket.
 Socket MakeWakePair(Loop* loop, int* writer_fd) {
   int fds[2];
--- a/src/programs/rehearse.cpp
+++ b/src/programs/rehearse.cpp
@@ -201,7 +201,7 @@
     const rehearsal::Site::Counts now = co_await site->Count();
     if (!(now == shown)) {
       shown = now;
-      std::printf("jobs: %d live, %d over; machines: %d up, %d starting\n", now.live, now.over,
+      std::printf("jobs: %d active, %d ended; machines: %d up, %d starting\n", now.live, now.over,
                   now.up, now.starting);
       std::fflush(stdout);
     }
@@ -332,9 +332,9 @@
   const check::Outcome o = check::Explore(start_world, states);
   std::printf("%llu states, %llu steps, every order of %d events%s, %.1f s: %s\n",
               static_cast<unsigned long long>(o.states), static_cast<unsigned long long>(o.steps),
-              o.depth, o.whole ? " (there are no more states)" : "",
+              o.depth, o.whole ? " (all reachable states)" : "",
               std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(),
-              o.broken.empty() ? "nothing broken" : o.broken.c_str());
+              o.broken.empty() ? "no invariant violated" : o.broken.c_str());
   for (const std::string& event : o.path) std::printf("  %s\n", event.c_str());
   return o.broken.empty() ? 0 : 1;
 }
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -114,8 +114,8 @@
   from.processes["node-0"] = {5, 20, 25};
   to.processes["node-0"] = {9, 30, 35};
   from.processes["node-1"] = {8, 10, 10};
-  to.processes["node-1"] = {1, 12,
-                            12};  // restarted between the samples: its counter began again at 0
+  // Restarted between the samples: its processor time starts again at 0.
+  to.processes["node-1"] = {1, 12, 12};
   to.leader = "node-0";
   from.leader_counters["badgershore_reports_total"] = 100;
   to.leader_counters["badgershore_reports_total"] = 300;
