--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,4 +1,4 @@
-// A client for one address, which keeps a few connections open between requests.
+// An HTTP client for one address that keeps some connections open between requests.
 #pragma once
 
 #include <cstdint>
@@ -10,13 +10,14 @@
 
 namespace badgershore::http {
 
-// What a client has sent and received since it was made; bytes with heads.
+// Totals since the client was constructed; byte counts include the HTTP headers.
 struct Traffic {
   uint64_t requests = 0, sent = 0, received = 0;
 };
 
 struct ClientAnswer {
-  // kNotSent: the request surely never reached the other side.
+  // kNotSent: no connection was made, so the request cannot have reached the server. kUnknown: the
+  // request may have been carried out.
   enum class Outcome { kAnswered, kNotSent, kUnknown } outcome = Outcome::kNotSent;
   int status = 0;
   std::string body;
@@ -25,23 +26,23 @@
 
 class Client {
  public:
-  Client(io::Loop* loop, std::string addr, size_t keep, Limits limits)
-      : loop_(loop), addr_(std::move(addr)), keep_(keep), limits_(limits) {}
+  Client(io::Loop* loop, std::string addr, size_t max_idle, Limits limits)
+      : loop_(loop), addr_(std::move(addr)), max_idle_(max_idle), limits_(limits) {}
 
   io::Task<ClientAnswer> Request(std::string method, std::string target, std::string body,
                                  Micros timeout);
   const Traffic& traffic() const { return traffic_; }
 
  private:
-  struct Idle {
+  struct IdleConnection {
     io::Socket socket;
     Micros since;
   };
   io::Loop* loop_;
   std::string addr_;
-  size_t keep_;
+  size_t max_idle_;
   Limits limits_;
-  std::vector<Idle> idle_;
+  std::vector<IdleConnection> idle_connections_;
   Traffic traffic_;
 };
 
--- a/src/io/loop.cpp
+++ b/src/io/loop.cpp
@@ -16,13 +16,13 @@
 namespace badgershore::io {
 namespace {
 
-bool ParseAddr(const std::string& addr, sockaddr_in* out, int least_port = 1) {
+bool ParseAddr(const std::string& addr, sockaddr_in* out, int min_port = 1) {
   const size_t colon = addr.rfind(':');
   if (colon == std::string::npos) return false;
   std::memset(out, 0, sizeof(*out));
   out->sin_family = AF_INET;
   const int port = std::atoi(addr.c_str() + colon + 1);
-  if (port < least_port || port > 65535) return false;
+  if (port < min_port || port > 65535) return false;
   out->sin_port = htons(static_cast<uint16_t>(port));
   return inet_pton(AF_INET, addr.substr(0, colon).c_str(), &out->sin_addr) == 1;
 }
@@ -52,7 +52,7 @@
   return static_cast<int64_t>(ts.tv_sec) * 1000 + ts.tv_nsec / 1000000;
 }
 
-void Loop::Arm(Waiter* w, Micros deadline) {
+void Loop::StartTimer(Waiter* w, Micros deadline) {
   w->timer = timers_.emplace(deadline, w);
   w->has_timer = true;
 }
@@ -72,7 +72,7 @@
   epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &ev);
 }
 
-Micros Loop::RunTimers() {
+Micros Loop::ExpireTimers() {
   const Micros now = Now();
   while (!timers_.empty() && timers_.begin()->first <= now) {
     Waiter* w = timers_.begin()->second;
@@ -85,7 +85,7 @@
   return now;
 }
 
-void Loop::RunReady() {
+void Loop::ResumeReady() {
   while (!ready_.empty()) {
     Waiter* w = ready_.front();
     ready_.pop_front();
@@ -95,13 +95,13 @@
 
 void Loop::Run() {
   epoll_event events[64];
-  RunReady();
-  Micros turn_began = Now();
+  ResumeReady();
+  Micros turn_start = Now();
   while (running_) {
     int wait_ms = 1000;
     if (!timers_.empty()) {
       const Micros now = Now();
-      longest_turn_ = std::max(longest_turn_, now - turn_began);
+      longest_turn_ = std::max(longest_turn_, now - turn_start);
       const int64_t us = (timers_.begin()->first - now).count;
       wait_ms = us <= 0 ? 0 : static_cast<int>(std::min<int64_t>(1000, (us + 999) / 1000));
     }
@@ -110,8 +110,8 @@
       auto* state = static_cast<FdState*>(events[i].data.ptr);
       if (Waiter* w = std::exchange(state->waiter, nullptr)) Wake(w);
     }
-    turn_began = RunTimers();
-    RunReady();
+    turn_start = ExpireTimers();
+    ResumeReady();
   }
 }
 
@@ -131,8 +131,8 @@
 
 void Socket::Close() {
   if (fd_ >= 0) {
-    // Closing alone does not end the registration while a forked process still has the socket, and
-    // its next event would name a state that is gone.
+    // close() does not remove the epoll registration while a forked process still holds the socket;
+    // a later event would then refer to the deleted state.
     epoll_ctl(loop_->epoll_, EPOLL_CTL_DEL, fd_, nullptr);
     ::close(fd_);
   }
@@ -173,7 +173,8 @@
          ::listen(fd, kListenBacklog) == 0;
 }
 
-// A restarted process may find its predecessor's socket not yet closed. errno tells of a failure.
+// After a restart the previous process may not have closed its socket yet, so EADDRINUSE is retried
+// for a while. errno holds the cause of a failure.
 bool BindAndListenRetrying(int fd, const sockaddr_in& address) {
   bool listening = BindAndListen(fd, address);
   const Micros deadline = Loop::Now() + kAddressInUseTimeout;
@@ -222,7 +223,8 @@
     if (errno == EAGAIN || errno == EWOULDBLOCK) {
       co_await Ready(kNever);
     } else {
-      // Out of sockets or the like: the edge will not come again by itself.
+      // Out of file descriptors or the like: the registration is edge-triggered and reports no new
+      // event for the pending connection, so accept is retried after a delay.
       co_await loop_->Sleep(Millis(50));
     }
   }
--- a/src/io/task.h
+++ b/src/io/task.h
@@ -1,4 +1,4 @@
-// A lazy coroutine with one awaiter, and a way to let one run by itself.
+// A coroutine that starts when it is awaited and has one awaiter, and Spawn to run one detached.
 #pragma once
 
 #include <coroutine>
@@ -17,14 +17,14 @@
   bool await_ready() noexcept { return false; }
   template <typename P>
   std::coroutine_handle<> await_suspend(std::coroutine_handle<P> h) noexcept {
-    auto next = h.promise().next;
-    return next ? next : std::noop_coroutine();
+    auto continuation = h.promise().continuation;
+    return continuation ? continuation : std::noop_coroutine();
   }
   void await_resume() noexcept {}
 };
 
 struct PromiseBase {
-  std::coroutine_handle<> next;
+  std::coroutine_handle<> continuation;
   std::suspend_always initial_suspend() noexcept { return {}; }
   FinalAwaiter final_suspend() noexcept { return {}; }
   void unhandled_exception() { std::terminate(); }
@@ -64,7 +64,7 @@
 
   bool await_ready() const noexcept { return false; }
   std::coroutine_handle<> await_suspend(std::coroutine_handle<> awaiter) noexcept {
-    handle_.promise().next = awaiter;
+    handle_.promise().continuation = awaiter;
     return handle_;
   }
   T await_resume() {
@@ -96,7 +96,7 @@
 inline Detached RunDetached(Task<void> task) { co_await task; }
 }  // namespace detail
 
-// Starts the task at once; its frame frees itself at the end.
+// Starts the task immediately, detached; its frame is freed when it ends.
 inline void Spawn(Task<void> task) { detail::RunDetached(std::move(task)); }
 
 }  // namespace badgershore::io
--- a/src/programs/rehearse.cpp
+++ b/src/programs/rehearse.cpp
@@ -1,4 +1,4 @@
-// badgershore-rehearse: plays scenarios and says what they broke.
+// badgershore-rehearse: runs scenarios and reports invariant violations.
 #include <unistd.h>
 
 #include <atomic>
@@ -27,26 +27,27 @@
 using config::Scenario;
 using rehearsal::Result;
 
-std::string g_scenarios;  // the folder of kept scenarios
+std::string g_scenarios;  // the directory of the stored scenarios
 
-// The folder that this program is in has the others too.
+// The directory of this executable; the other programs are in the same directory.
 std::string ProgramFolder() {
   return std::filesystem::read_symlink("/proc/self/exe").parent_path().string();
 }
 
-// In a checkout it is here; beside an installed program where `cmake --install` lays it.
+// `scenarios` in the current directory, as in a checkout, or else the directory in which `cmake
+// --install` puts the scenarios.
 std::string ScenariosFolder() {
   const std::string installed = ProgramFolder() + "/../share/badgershore/scenarios";
   return !std::filesystem::exists("scenarios") && std::filesystem::exists(installed) ? installed
                                                                                      : "scenarios";
 }
 
-// A file, or the name of a kept scenario.
-std::string FileOf(const std::string& scenario) {
+// Resolves a scenario given as a file or as the name of a stored scenario.
+std::string ResolveScenarioFile(const std::string& scenario) {
   if (std::filesystem::exists(scenario)) return scenario;
   std::string kept = g_scenarios + "/" + scenario + ".yaml";
   if (!std::filesystem::exists(kept)) {
-    throw config::Error(scenario + ": expected a file or a scenario kept in " + g_scenarios);
+    throw config::Error(scenario + ": expected a file or the name of a scenario in " + g_scenarios);
   }
   return kept;
 }
@@ -57,8 +58,9 @@
   return out;
 }
 
-// Jobs whose withdrawal races their end may be either.
-std::string FinalSha(const Scenario& scenario, Result r) {
+// A digest of the final states. A job whose cancellation races with its completion may end in
+// either state, so it is counted as `either`.
+std::string FinalStatesDigest(const Scenario& scenario, Result r) {
   for (const std::string& id : scenario.either) {
     if (r.final_states.contains(id) && r.final_states[id] != "open") r.final_states[id] = "either";
   }
@@ -71,11 +73,12 @@
   return v[std::min(v.size() - 1, static_cast<size_t>(q * static_cast<double>(v.size())))];
 }
 
-std::string Json(const Scenario& scenario, const Result& r, double wall_s, const char* time) {
+std::string ResultToJson(const Scenario& scenario, const Result& r, double wall_s,
+                         const char* time) {
   wire::Writer w;
   w.Begin().Put("scenario", r.scenario).Put("seed", r.seed).Put("time", time);
   w.Key("jobs").Begin().Put("done", r.done).Put("withdrawn", r.withdrawn).Put("open", r.open).End();
-  w.Put("final_states_sha256", FinalSha(scenario, r));
+  w.Put("final_states_sha256", FinalStatesDigest(scenario, r));
   w.Put("history_sha256", store::Sha256(r.history));
   w.Key("broken").BeginList();
   for (const auto& b : r.broken) {
@@ -103,18 +106,18 @@
   return w.End().Done();
 }
 
-void Print(const Scenario& scenario, const Result& r, double wall_s) {
+void PrintResult(const Scenario& scenario, const Result& r, double wall_s) {
   std::printf("%s, seed %llu: %d done, %d withdrawn, %d open; final states %.12s, history %.12s\n",
               r.scenario.c_str(), static_cast<unsigned long long>(r.seed), r.done, r.withdrawn,
-              r.open, FinalSha(scenario, r).c_str(), store::Sha256(r.history).c_str());
+              r.open, FinalStatesDigest(scenario, r).c_str(), store::Sha256(r.history).c_str());
   for (const auto& [lane, waits] : r.waits) {
     std::printf("  %-20s %5zu jobs, done within %.0f s (half), %.0f s (90%%), %.0f s (99%%)\n",
                 lane.c_str(), waits.size(), Quantile(waits, 0.5), Quantile(waits, 0.9),
                 Quantile(waits, 0.99));
   }
   std::printf(
-      "  %.0f s played in %.1f s; price %.2f; cancelled work gone within %.1f s, %d started after "
-      "it\n",
+      "  %.0f s run in %.1f s; price %.2f; cancelled tasks ended within %.1f s, %d started "
+      "after their cancellation\n",
       r.simulated_s, wall_s, r.price, r.latest_cancelled_s, r.started_cancelled);
   for (const std::string& belief : r.beliefs) std::printf("  open: %s\n", belief.c_str());
   size_t shown = 0;
@@ -125,7 +128,7 @@
   if (r.broken.size() > 10) std::printf("  and %zu more\n", r.broken.size() - 10);
 }
 
-Result Play(const Scenario& scenario, uint64_t seed, double* wall_s) {
+Result PlayTimed(const Scenario& scenario, uint64_t seed, double* wall_s) {
   const auto start = std::chrono::steady_clock::now();
   Result r = rehearsal::Play(scenario, seed);
   *wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
@@ -136,25 +139,25 @@
 
 std::string TemporaryFolder() {
   std::string name = (std::filesystem::temp_directory_path() / "badgershore-XXXXXX").string();
-  if (!::mkdtemp(name.data())) throw config::Error(name + ": can't be made");
+  if (!::mkdtemp(name.data())) throw config::Error(name + ": can't create the directory");
   return name;
 }
 
 void CheckPlayable(const Scenario& scenario, const std::string& file) {
   if (!scenario.cells.empty()) {
-    throw config::Error(file + ": several cells can be played in simulated time only");
+    throw config::Error(file + ": several cells can be run in simulated time only");
   }
   using Kind = config::Trouble::Kind;
   for (const auto& t : scenario.troubles) {
     if (t.kind == Kind::kStateDown || t.kind == Kind::kStateMute || t.kind == Kind::kStateLate ||
         t.kind == Kind::kDiskFull || t.kind == Kind::kCut) {
-      throw config::Error(file + ": the trouble at " + std::to_string(t.at.ToSeconds()) +
-                          " s can be played in simulated time only");
+      throw config::Error(file + ": the fault at " + std::to_string(t.at.ToSeconds()) +
+                          " s can be injected in simulated time only");
     }
   }
 }
 
-// Real processes on loopback, in real time.
+// Runs the scenario in real time with real processes on loopback.
 Result PlayReal(const Scenario& scenario, const std::string& file, uint64_t seed, double* wall_s) {
   CheckPlayable(scenario, file);
   const std::string dir = TemporaryFolder();
@@ -166,7 +169,7 @@
     const auto started = site.Start([&] { loop.Stop(); });
     if (!started) throw config::Error(started.error().message);
     bool interrupted = false;
-    io::OnEndSignals(&loop, [&] {
+    io::OnTerminationSignal(&loop, [&] {
       interrupted = true;
       site.Stop();
     });
@@ -179,7 +182,7 @@
   return result;
 }
 
-io::Task<void> Show(io::Loop* loop, rehearsal::Site* site, bool tty) {
+io::Task<void> ShowProgress(io::Loop* loop, rehearsal::Site* site, bool tty) {
   while (!site->ready()) co_await loop->Sleep(Millis(50));
   std::printf(
       "badgershore is up: http://%s\n"
@@ -188,7 +191,7 @@
       "\"accelerators\":0,\"memGb\":1,\"kit\":\"img\",\"imageGb\":1,\"samePlace\":false,"
       "\"spread\":false,\"loaners\":true,\"expectS\":5,\"stashEveryS\":0,\"stashS\":0}'\n"
       "     curl http://%s/work/job-1\n"
-      "Ctrl-C ends all of it\n",
+      "Ctrl-C stops all processes\n",
       site->address().c_str(), site->address().c_str(), site->address().c_str());
   std::fflush(stdout);
   rehearsal::Site::Counts shown;
@@ -198,7 +201,7 @@
     const rehearsal::Site::Counts now = co_await site->Count();
     if (!(now == shown)) {
       shown = now;
-      std::printf("jobs: %d live, %d over; machines: %d up, %d starting\n", now.live, now.over,
+      std::printf("jobs: %d active, %d ended; machines: %d up, %d starting\n", now.live, now.over,
                   now.up, now.starting);
       std::fflush(stdout);
     }
@@ -206,7 +209,7 @@
   }
 }
 
-int Up(const Scenario& scenario, const std::string& listen, const std::string& data) {
+int RunSite(const Scenario& scenario, const std::string& listen, const std::string& data) {
   const std::string dir = data.empty() ? TemporaryFolder() : data;
   int code = 0;
   {
@@ -216,8 +219,8 @@
       std::fprintf(stderr, "badgershore-rehearse: %s\n", started.error().message.c_str());
       code = 1;
     } else {
-      io::OnEndSignals(&loop, [&] { site.Stop(); });
-      io::Spawn(Show(&loop, &site, ::isatty(STDOUT_FILENO) == 1));
+      io::OnTerminationSignal(&loop, [&] { site.Stop(); });
+      io::Spawn(ShowProgress(&loop, &site, ::isatty(STDOUT_FILENO) == 1));
       loop.Run();
     }
   }
@@ -230,12 +233,13 @@
   const Scenario scenario = config::LoadScenario(file);
   double wall_s = 0;
   const char* time = real ? "real" : "simulated";
-  const Result r = real ? PlayReal(scenario, file, seed, &wall_s) : Play(scenario, seed, &wall_s);
-  Print(scenario, r, wall_s);
+  const Result r =
+      real ? PlayReal(scenario, file, seed, &wall_s) : PlayTimed(scenario, seed, &wall_s);
+  PrintResult(scenario, r, wall_s);
   if (!json.empty()) {
     std::ofstream out(json);
-    out << Json(scenario, r, wall_s, time) << "\n";
-    if (!out.flush()) throw config::Error(json + ": can't be written");
+    out << ResultToJson(scenario, r, wall_s, time) << "\n";
+    if (!out.flush()) throw config::Error(json + ": can't write the file");
   }
   if (!evidence.empty()) {
     store::ArchiveWriter out(evidence);
@@ -243,29 +247,29 @@
     out.Add("history.txt", r.history);
     out.Add("log.txt", r.log);
     out.Add("final-states.txt", FinalText(r));
-    out.Add("result.json", Json(scenario, r, wall_s, time) + "\n");
+    out.Add("result.json", ResultToJson(scenario, r, wall_s, time) + "\n");
     out.Finish();
   }
   return r.clean() ? 0 : 1;
 }
 
-// Drops troubles, one at a time, while the scenario still breaks: the least one that does.
-void Shrink(Scenario scenario, uint64_t seed) {
+// Removes faults one at a time as long as the scenario still fails, and prints those that are left.
+void MinimizeFaults(Scenario scenario, uint64_t seed) {
   for (size_t i = 0; i < scenario.troubles.size();) {
-    Scenario less = scenario;
-    less.troubles.erase(less.troubles.begin() + static_cast<std::ptrdiff_t>(i));
-    if (rehearsal::Play(less, seed).clean()) {
+    Scenario reduced = scenario;
+    reduced.troubles.erase(reduced.troubles.begin() + static_cast<std::ptrdiff_t>(i));
+    if (rehearsal::Play(reduced, seed).clean()) {
       ++i;
     } else {
-      scenario = std::move(less);
+      scenario = std::move(reduced);
     }
   }
-  std::printf("the least that still breaks: %zu troubles, at", scenario.troubles.size());
+  std::printf("smallest set of faults that still fails: %zu, at", scenario.troubles.size());
   for (const auto& t : scenario.troubles) std::printf(" %.1f s", t.at.ToSeconds());
   std::printf("\n");
 }
 
-int Explore(const std::string& file, const std::string& seeds, int jobs) {
+int ExploreSeeds(const std::string& file, const std::string& seeds, int jobs) {
   const size_t dots = seeds.find("..");
   char* end = nullptr;
   const uint64_t first = std::strtoull(seeds.c_str(), &end, 10);
@@ -279,7 +283,7 @@
   std::atomic<bool> stop{false};
   std::mutex mutex;
   std::map<std::string, int> finals;
-  std::optional<Result> bad;
+  std::optional<Result> failure;
   double slowest = 0;
   const bool tty = ::isatty(STDERR_FILENO) == 1;
   const auto work = [&] {
@@ -287,16 +291,16 @@
       const uint64_t seed = next++;
       if (seed > last || stop) return;
       double wall_s = 0;
-      Result r = Play(scenario, seed, &wall_s);
+      Result r = PlayTimed(scenario, seed, &wall_s);
       const std::lock_guard<std::mutex> lock(mutex);
       ++played;
       slowest = std::max(slowest, wall_s);
-      ++finals[FinalSha(scenario, r)];
+      ++finals[FinalStatesDigest(scenario, r)];
       if (tty)
         std::fprintf(stderr, "\r%llu of %llu", static_cast<unsigned long long>(played),
                      static_cast<unsigned long long>(last - first + 1));
-      if (!r.clean() && (!bad || r.seed < bad->seed)) {
-        bad = std::move(r);
+      if (!r.clean() && (!failure || r.seed < failure->seed)) {
+        failure = std::move(r);
         stop = true;
       }
     }
@@ -310,11 +314,11 @@
               static_cast<unsigned long long>(played), slowest);
   for (const auto& [sha, count] : finals) std::printf("; %.12s %d times", sha.c_str(), count);
   std::printf("\n");
-  if (bad) {
-    Print(scenario, *bad, 0);
+  if (failure) {
+    PrintResult(scenario, *failure, 0);
     std::printf("replay: badgershore-rehearse run %s --seed %llu\n", file.c_str(),
-                static_cast<unsigned long long>(bad->seed));
-    Shrink(scenario, bad->seed);
+                static_cast<unsigned long long>(failure->seed));
+    MinimizeFaults(scenario, failure->seed);
     return 1;
   }
   if (finals.size() == 1) return 0;
@@ -323,14 +327,14 @@
 }
 
 template <typename World>
-int Model(const World& start_world, uint64_t states) {
+int ExploreModel(const World& start_world, uint64_t states) {
   const auto start = std::chrono::steady_clock::now();
   const check::Outcome o = check::Explore(start_world, states);
   std::printf("%llu states, %llu steps, every order of %d events%s, %.1f s: %s\n",
               static_cast<unsigned long long>(o.states), static_cast<unsigned long long>(o.steps),
-              o.depth, o.whole ? " (there are no more states)" : "",
+              o.depth, o.whole ? " (all reachable states)" : "",
               std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(),
-              o.broken.empty() ? "nothing broken" : o.broken.c_str());
+              o.broken.empty() ? "no invariant violated" : o.broken.c_str());
   for (const std::string& event : o.path) std::printf("  %s\n", event.c_str());
   return o.broken.empty() ? 0 : 1;
 }
@@ -338,7 +342,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"badgershore-rehearse: plays scenarios, and whole sites on one machine"};
+  CLI::App app{"badgershore-rehearse: runs scenarios, or a complete site, on one machine"};
   app.set_version_flag("--version", std::string("badgershore-rehearse ") + BADGERSHORE_VERSION);
   app.require_subcommand(1);
   std::string name, json, evidence, seeds = "1..50", log_format = "text";
@@ -347,77 +351,105 @@
   uint64_t seed = 1;
   int jobs = static_cast<int>(std::max(1u, std::thread::hardware_concurrency()));
   programs::AddLogFormat(&app, &log_format);
-  app.add_option("--scenarios,--nights", g_scenarios, "The folder of kept scenarios")
+  app.add_option("--scenarios,--nights", g_scenarios, "Directory of the stored scenarios")
       ->capture_default_str();
   const auto verb = [&](const char* verb_name, const char* help) {
     CLI::App* sub = app.add_subcommand(verb_name, help);
     sub->fallthrough();
     return sub;
   };
-  CLI::App* run = verb("run", "Play a scenario; exit 1 where a rule is broken or a job stays open");
-  run->add_option("scenario", name, "A kept scenario's name, or a file")->required();
-  run->add_option("--seed", seed, "All chance comes from it")->capture_default_str();
-  run->add_option("--json", json, "Write the result there");
-  run->add_option("--evidence", evidence,
-                  "Write scenario, logs, history and final states (tar.zst)");
-  run->add_option("--time", time, "simulated, or real: processes on loopback")
+  CLI::App* run =
+      verb("run", "Run a scenario; exits with 1 if an invariant is violated or a job does not end");
+  run->add_option("scenario", name, "Name of a stored scenario, or a file")->required();
+  run->add_option("--seed", seed, "Seed of all random choices")->capture_default_str();
+  run->add_option("--json", json, "Write the result to this file as JSON");
+  run->add_option(
+      "--evidence", evidence,
+      "Write scenario, log, history, final states and result to this archive (tar.zst)");
+  run->add_option("--time", time, "simulated, or real: with real processes on loopback")
       ->check(CLI::IsMember({"simulated", "real"}))
       ->capture_default_str();
-  CLI::App* up = verb("up", "Start a whole site on loopback, until Ctrl-C");
-  up->add_option("scenario", name, "The site, as a scenario; else a small one that is built in");
-  up->add_option("--listen", listen, "The users' address; port 0 takes a free one")
+  CLI::App* up = verb("up", "Run a complete site on loopback until Ctrl-C");
+  up->add_option("scenario", name,
+                 "Scenario that describes the site; default: a small built-in site");
+  up->add_option("--listen", listen, "Listen address for users; port 0 selects a free port")
       ->capture_default_str();
-  up->add_option("--data", data, "Keep settings, state and logs there; else they go at the end");
-  CLI::App* explore = verb("explore", "Play a scenario with many seeds; stop at a broken rule");
-  explore->add_option("scenario", name, "A kept scenario's name, or a file")->required();
-  explore->add_option("--seeds", seeds, "A..B")->capture_default_str();
-  explore->add_option("--jobs", jobs, "So many at a time")->check(CLI::Range(1, 256));
-  check::LimitsPlan plan;
+  up->add_option(
+      "--data", data,
+      "Keep settings, state and logs in this directory; by default they are removed at the end");
+  CLI::App* explore =
+      verb("explore", "Run a scenario with many seeds; stops at the first violation");
+  explore->add_option("scenario", name, "Name of a stored scenario, or a file")->required();
+  explore->add_option("--seeds", seeds, "Range of seeds, A..B")->capture_default_str();
+  explore->add_option("--jobs", jobs, "Number of runs in parallel")->check(CLI::Range(1, 256));
+  check::LimitsPlan limits_plan;
   uint64_t states = 1000000;
-  check::ElectionPlan lead;
+  check::ElectionPlan leadership_plan;
   std::string of = "limits";
-  CLI::App* model = verb("model", "Explore every order of events of a pure machine");
-  check::CancelPlan cancel;
+  CLI::App* model = verb("model", "Explore every order of events of a state machine");
+  check::CancelPlan cancellation_plan;
   int planted = 0;
   model
-      ->add_option(
-          "of", of,
-          "limits: rights among cells; leadership: of one cell; cancellations: what a cell "
-          "lets live")
+      ->add_option("of", of,
+                   "limits: quota shares of several cells; leadership: election in one cell; "
+                   "cancellations: cancelled jobs in one cell")
       ->check(CLI::IsMember({"limits", "leadership", "cancellations"}))
       ->capture_default_str();
-  model->add_option("--seconds", cancel.seconds, "Cancellations: that pass");
-  model->add_option("--troubles", cancel.troubles, "Cancellations: at most");
-  model->add_option("--first", cancel.first, "Cancellations: events before the exploration");
-  model->add_option("--planted", planted, "Cancellations: a fault to be found")
+  model->add_option("--seconds", cancellation_plan.seconds, "Cancellations: seconds that pass");
+  model->add_option("--troubles", cancellation_plan.troubles,
+                    "Cancellations: largest number of faults");
+  model->add_option("--first", cancellation_plan.first,
+                    "Cancellations: events that are applied before the exploration");
+  model
+      ->add_option("--planted", planted,
+                   "Cancellations: number of the injected fault to find; 0: none")
       ->check(CLI::Range(0, 4));
-  model->add_option("--nodes", lead.nodes, "Leadership: controllers")->check(CLI::Range(2, 5));
-  model->add_option("--times", lead.times, "Leadership: thirds of a lease that pass");
-  model->add_option("--lates", lead.lates, "Leadership: late requests or answers");
-  model->add_option("--losses", lead.losses, "Leadership: answers that are lost");
-  model->add_option("--ends", lead.ends, "Leadership: controllers that end");
-  model->add_option("--retires", lead.retires, "Leadership: leaders that hand over");
-  model->add_option("--cells", plan.cells, "")->check(CLI::Range(2, 5))->capture_default_str();
-  model->add_option("--teams", plan.teams, "")->check(CLI::Range(1, 3))->capture_default_str();
-  model->add_option("--whole", plan.whole, "A team's limit, in tasks")->capture_default_str();
-  model->add_option("--crashes", plan.crashes, "")->capture_default_str();
-  model->add_option("--restores", plan.restores, "Old copies of a record")->capture_default_str();
-  model->add_option("--repeats", plan.repeats, "Notes that come late")->capture_default_str();
-  model->add_option("--transfers", plan.transfers, "Decided on in all")->capture_default_str();
-  model->add_option("--states", states, "At most")->capture_default_str();
-  CLI::App* list = verb("list", "List the kept scenarios");
-  CLI::App* check = verb("check", "Check a scenario's file");
-  check->add_option("scenario", name, "A kept scenario's name, or a file")->required();
+  model->add_option("--nodes", leadership_plan.nodes, "Leadership: number of controllers")
+      ->check(CLI::Range(2, 5));
+  model->add_option("--times", leadership_plan.times,
+                    "Leadership: time that passes, in thirds of a lease");
+  model->add_option("--lates", leadership_plan.lates,
+                    "Leadership: number of delayed requests or responses");
+  model->add_option("--losses", leadership_plan.losses, "Leadership: number of lost responses");
+  model->add_option("--ends", leadership_plan.ends, "Leadership: number of controllers that end");
+  model->add_option("--retires", leadership_plan.retires, "Leadership: number of handovers");
+  model->add_option("--cells", limits_plan.cells, "Limits: number of cells")
+      ->check(CLI::Range(2, 5))
+      ->capture_default_str();
+  model->add_option("--teams", limits_plan.teams, "Limits: number of teams")
+      ->check(CLI::Range(1, 3))
+      ->capture_default_str();
+  model->add_option("--whole", limits_plan.whole, "Limits: limit of a team, in tasks")
+      ->capture_default_str();
+  model->add_option("--crashes", limits_plan.crashes, "Limits: number of crashes")
+      ->capture_default_str();
+  model
+      ->add_option("--restores", limits_plan.restores,
+                   "Limits: number of restores of an old copy of a record")
+      ->capture_default_str();
+  model
+      ->add_option("--repeats", limits_plan.repeats,
+                   "Limits: number of messages that are delivered again")
+      ->capture_default_str();
+  model
+      ->add_option("--transfers", limits_plan.transfers,
+                   "Limits: total number of transfers between cells")
+      ->capture_default_str();
+  model->add_option("--states", states, "Largest number of states")->capture_default_str();
+  CLI::App* list = verb("list", "List the stored scenarios");
+  CLI::App* check = verb("check", "Check a scenario file");
+  check->add_option("scenario", name, "Name of a stored scenario, or a file")->required();
   if (const int code = programs::Parse(&app, argc, argv); code >= 0) return code;
-  if (!programs::SetUpLog("badgershore-rehearse", log_format)) return programs::kBadInput;
+  if (!programs::SetUpLog("badgershore-rehearse", log_format)) return programs::kExitInvalidInput;
   std::signal(SIGPIPE, SIG_IGN);
   try {
-    if (*model && of == "leadership") return Model(check::ElectionModel(lead), states);
+    if (*model && of == "leadership")
+      return ExploreModel(check::ElectionModel(leadership_plan), states);
     if (*model && of == "cancellations") {
-      cancel.planted = static_cast<check::PlantedInAuthority>(planted);
-      return Model(check::CancelModel(cancel), states);
+      cancellation_plan.planted = static_cast<check::PlantedInAuthority>(planted);
+      return ExploreModel(check::CancelModel(cancellation_plan), states);
     }
-    if (*model) return Model(check::LimitsModel(plan), states);
+    if (*model) return ExploreModel(check::LimitsModel(limits_plan), states);
     if (*list) {
       std::vector<std::string> files;
       for (const auto& f : std::filesystem::directory_iterator(g_scenarios)) {
@@ -431,15 +463,17 @@
       return 0;
     }
     if (*up) {
-      if (!name.empty()) CheckPlayable(config::LoadScenario(FileOf(name)), FileOf(name));
-      return Up(name.empty() ? config::SmallSite() : config::LoadScenario(FileOf(name)), listen,
-                data);
+      if (!name.empty())
+        CheckPlayable(config::LoadScenario(ResolveScenarioFile(name)), ResolveScenarioFile(name));
+      return RunSite(
+          name.empty() ? config::SmallSite() : config::LoadScenario(ResolveScenarioFile(name)),
+          listen, data);
     }
-    const std::string file = FileOf(name);
+    const std::string file = ResolveScenarioFile(name);
     if (*run) return RunScenario(file, seed, time == "real", json, evidence);
-    if (*explore) return Explore(file, seeds, jobs);
+    if (*explore) return ExploreSeeds(file, seeds, jobs);
     const Scenario scenario = config::LoadScenario(file);
-    std::printf("%s is good: %zu classes, %zu troubles\n", scenario.name.c_str(),
+    std::printf("%s is valid: %zu job classes, %zu faults\n", scenario.name.c_str(),
                 scenario.classes.size(), scenario.troubles.size());
     return 0;
   } catch (const config::Error& e) {
@@ -447,5 +481,5 @@
   } catch (const std::exception& e) {
     std::fprintf(stderr, "badgershore-rehearse: %s\n", e.what());
   }
-  return programs::kBadInput;
+  return programs::kExitInvalidInput;
 }
--- a/src/site/relay.cpp
+++ b/src/site/relay.cpp
@@ -3,7 +3,8 @@
 namespace badgershore::site {
 namespace {
 constexpr http::Limits kLimits{8 * 1024, 16 * 1024, 1024 * 1024};
-constexpr Micros kProbeEvery = Seconds(1), kProbeTimeout = Seconds(1), kAnswer = Seconds(70);
+constexpr Micros kProbeInterval = Seconds(1), kProbeTimeout = Seconds(1),
+                 kRequestTimeout = Seconds(70);
 }  // namespace
 
 Relay::Relay(io::Loop* loop, std::vector<std::string> nodes)
@@ -32,24 +33,25 @@
     http::Client client(loop_, nodes_[node], 0, kLimits);
     const http::ClientAnswer a = co_await client.Request("GET", "/healthz", "", kProbeTimeout);
     balancer_.OnProbe(io::Loop::Now(), node, a.answered() && a.status == 200);
-    // Nobody is healthy at the start: look more often until somebody is.
-    const Micros every = ready() ? kProbeEvery : Millis(100);
+    // Until the first node is healthy, as at the start, probe more often.
+    const Micros every = ready() ? kProbeInterval : Millis(100);
     co_await loop_->Sleep(std::max(Millis(20), start + every - io::Loop::Now()));
   }
 }
 
 io::Task<http::ServerAnswer> Relay::Handle(http::Message request) {
-  for (const size_t node : balancer_.Order(io::Loop::Now(), ++turn_)) {
+  for (const size_t node : balancer_.Order(io::Loop::Now(), ++request_count_)) {
     http::Client client(loop_, nodes_[node], 0, kLimits);
     balancer_.OnOpen(node);
     http::ClientAnswer a =
-        co_await client.Request(request.method, request.target, request.body, kAnswer);
+        co_await client.Request(request.method, request.target, request.body, kRequestTimeout);
     balancer_.OnClose(node);
     const bool sent = a.outcome != http::ClientAnswer::Outcome::kNotSent;
     balancer_.OnConnect(io::Loop::Now(), node, sent);
     if (!sent) continue;
     http::ServerAnswer answer;
-    // What became of it is not known: the user asks again, as after any such break.
+    // The connection broke after the request was sent, so its outcome is unknown: the user's
+    // connection is closed too, and the user retries.
     answer.hang_up = !a.answered();
     answer.status = a.status;
     answer.body = std::move(a.body);
