--- a/src/check/cancel_model.cpp
+++ b/src/check/cancel_model.cpp
@@ -170,7 +170,7 @@
       on = false;
       lease_end = WorkerClock() + kWorkerLease;
     }
-    if (on && cancelled >= Micros{} && now - cancelled > kCancel) late = "is there";
+    if (on && cancelled >= Micros{} && now - cancelled > kCancel) late = "is running";
   }
 
   void Do(const std::string& event) override {
@@ -234,7 +234,7 @@
     return key;
   }
   std::string Broken() const override {
-    return late.empty() ? "" : "a task of the cancelled job " + late + " past its time";
+    return late.empty() ? "" : "a task of the cancelled job " + late + " after the deadline";
   }
 
  private:
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -186,7 +186,7 @@
     for (size_t i = 0; i < nodes.size(); ++i) {
       if (nodes[i].election->MayStart(Clock(i))) may += Name(i);
     }
-    return may.size() > 1 ? "nodes " + may + " may start at once" : "";
+    return may.size() > 1 ? "nodes " + may + " may start tasks at the same time" : "";
   }
 
  private:
--- a/src/check/limits_model.cpp
+++ b/src/check/limits_model.cpp
@@ -224,7 +224,7 @@
       if (held != c.stored.held.end()) rights += held->second[kLimitCpu];
     }
     if (running > plan_.whole) {
-      return "team " + Team(t) + " runs " + std::to_string(running) + " of " +
+      return "team " + Team(t) + " runs " + std::to_string(running) + " tasks with a limit of " +
              std::to_string(plan_.whole);
     }
     if (restored || !all) continue;
@@ -240,8 +240,8 @@
       }
     }
     if (rights != plan_.whole) {  // more: quota used twice; less: quota lost for ever
-      return "rights to " + std::to_string(rights) + " of " + std::to_string(plan_.whole) +
-             " of team " + Team(t);
+      return "quota shares of " + std::to_string(rights) + " instead of " +
+             std::to_string(plan_.whole) + " for team " + Team(t);
     }
   }
   return "";
--- a/src/check/replication_model.cpp
+++ b/src/check/replication_model.cpp
@@ -141,16 +141,16 @@
       const auto& chain = hosts_[i].disk.chain;
       for (size_t k = 0; k < committed_.size(); ++k) {
         if (k >= chain.size() || chain[k] != committed_[k]) {
-          return Name(i) + " may answer without a committed batch";
+          return Name(i) + " may serve without a committed batch";
         }
       }
     }
-    if (serving > 1) return "two may answer at the same time";
+    if (serving > 1) return "two replicas may serve at the same time";
     for (size_t i = 0; i < kReplicas; ++i) {
       for (size_t k = i + 1; k < kReplicas; ++k) {
         const Disk &a = hosts_[i].disk, &b = hosts_[k].disk;
         const bool same = a.stored.position == b.stored.position && a.stored.position.index > 0;
-        if (same && a.chain != b.chain) return "two states at one position differ";
+        if (same && a.chain != b.chain) return "two states at the same position differ";
       }
     }
     return "";
--- a/src/rehearsal/checker.cpp
+++ b/src/rehearsal/checker.cpp
@@ -54,10 +54,12 @@
   int there = 1;
   // Skipped for jobs without a placement rule: a large job has many tasks.
   for (const Place& p : f.same_zone || f.spread ? PlacesOf(*job) : std::vector<Place>()) {
-    if (f.same_zone && p.zone != m.zone) Say(e, "wrong_place", task + " apart in " + m.zone);
+    if (f.same_zone && p.zone != m.zone)
+      Say(e, "wrong_place", task + " is apart from the job's other tasks, in zone " + m.zone);
     there += p.zone == m.zone;
   }
-  if (f.spread && there > (f.tasks + 1) / 2) Say(e, "wrong_place", task + " crowds " + m.zone);
+  if (f.spread && there > (f.tasks + 1) / 2)
+    Say(e, "wrong_place", task + " exceeds the job's share of tasks in zone " + m.zone);
   job->on[e.task][e.machine] = e.number;
   auto& used = used_[f.team];
   used.first += f.cpu_m;
@@ -84,7 +86,7 @@
     for (const Place& p : PlacesOf(job)) {
       Event e;
       e.at_us = at_us;
-      Say(e, "ran_cancelled", id + " still on " + p.machine);
+      Say(e, "ran_cancelled", id + " still runs after its cancellation deadline on " + p.machine);
     }
   }
 }
@@ -115,10 +117,12 @@
       others_answered_at_ = e.at_us;
       return;
     case Kind::kRejected:
-      if (job.accepted) Say(e, "forgotten", e.job + " refused again: " + std::to_string(e.number));
+      if (job.accepted)
+        Say(e, "forgotten",
+            e.job + " was accepted and then rejected with status " + std::to_string(e.number));
       return;
     case Kind::kUnknownJob:
-      if (job.accepted) Say(e, "forgotten", e.job + " answered 404");
+      if (job.accepted) Say(e, "forgotten", e.job + " is unknown (404)");
       others_answered_at_ = e.at_us;
       return;
     case Kind::kNoAnswer:
@@ -129,12 +133,12 @@
           e.at_us -
                   std::max(job.silent_since, static_cast<int64_t>(bounds_.troubles_over_s * 1e6)) >=
               kForgottenAfterwards) {
-        Say(e, "forgotten", e.job + " not answered for 75 s after the troubles");
+        Say(e, "forgotten", e.job + " got no response for 75 s after the last fault");
         job.silent_since = e.at_us;
       }
       // Other users must still be getting responses: else this is an outage.
       if (e.at_us - job.silent_since >= kForgotten && e.at_us - others_answered_at_ < 5 * kSecond) {
-        Say(e, "forgotten", e.job + " not answered for 90 s");
+        Say(e, "forgotten", e.job + " got no response for 90 s");
         job.silent_since = -1;
       }
       return;
@@ -144,7 +148,8 @@
     case Kind::kTold: {
       others_answered_at_ = e.at_us;
       job.silent_since = -1;
-      if (!job.submitted) Say(e, "invented", e.job + " told as " + e.text);
+      if (!job.submitted)
+        Say(e, "invented", e.job + " was never submitted, but is reported as " + e.text);
       const bool final = e.text == "done" || e.text == "withdrawn";
       // A request that was sent before the user was told the final phase may have been answered
       // before the job ended.
@@ -157,13 +162,13 @@
         }
       }
       if (e.text == "withdrawn" && !job.asked_withdrawal) {
-        Say(e, "went_back", e.job + " withdrawn without being asked");
+        Say(e, "went_back", e.job + " withdrawn without a cancellation request");
       }
       if (e.text == "done" && job.final_phase.empty() &&
           static_cast<int>(job.done.size()) < job.facts.tasks) {
         Say(e, "not_done",
-            e.job + " with " + std::to_string(job.done.size()) + " of " +
-                std::to_string(job.facts.tasks) + " tasks done");
+            e.job + " reported done with " + std::to_string(job.done.size()) + " of " +
+                std::to_string(job.facts.tasks) + " tasks completed");
       }
       if (final && job.final_phase.empty()) {
         job.final_phase = e.text;
@@ -180,7 +185,7 @@
       started_cancelled_ += job.withdrawn_at >= 0;
       if (job.withdrawn_at >= 0 &&
           e.at_us - job.withdrawn_at > static_cast<int64_t>(bounds_.cancel_s * kSecond)) {
-        Say(e, "ran_cancelled", e.job + " starts on " + e.machine);
+        Say(e, "ran_cancelled", e.job + " starts after its cancellation deadline on " + e.machine);
       }
       Started(e, &job);
       return;
@@ -193,7 +198,8 @@
         const int64_t after = e.at_us - job.withdrawn_at;
         latest_cancelled_us_ = std::max(latest_cancelled_us_, after);
         if (after > static_cast<int64_t>(bounds_.cancel_s * kSecond)) {
-          Say(e, "ran_cancelled", e.job + " left " + e.machine + " too late");
+          Say(e, "ran_cancelled",
+              e.job + " exits from " + e.machine + " after its cancellation deadline");
         }
       }
       if (job.on[e.task].empty()) job.on.erase(e.task);
--- a/src/rehearsal/service.cpp
+++ b/src/rehearsal/service.cpp
@@ -69,7 +69,7 @@
                       std::to_string(s.accepted - s.withdrawn));
     if (s.large_done * 2 < s.large || s.latest_large_start_s > 240) {
       say("largest", name + ": " + std::to_string(s.large_done) + " of its " +
-                         std::to_string(s.large) + " largest done, the last begun after " +
+                         std::to_string(s.large) + " largest done, the last started after " +
                          std::to_string(static_cast<int>(s.latest_large_start_s)) + " s");
     }
     auto it = bounds_.find(key.second);
--- a/src/rehearsal/world.cpp
+++ b/src/rehearsal/world.cpp
@@ -161,7 +161,7 @@
   }
   for (const std::string& id : waiting_.See(now_, jobs, machines)) {
     stage_->result.broken.push_back(
-        {"left", now_.ToSeconds(), id + " waits for 90 s beside a machine with room"});
+        {"left", now_.ToSeconds(), id + " has waited for 90 s although a machine has room"});
   }
   Later(now_ + Seconds(5), [this] { LookForLeftWork(); });
 }
@@ -195,7 +195,7 @@
     const int leader = Leader();
     r.beliefs.push_back(
         leader < 0
-            ? prefix_ + id + ": nobody leads"
+            ? prefix_ + id + ": no leader"
             : prefix_ + nodes_[static_cast<size_t>(leader)].core->leader()->Explain(now_, id));
   }
   for (const auto& [id, job] : jobs_) r.open += job.gave_up && !job.facts.cannot_run;
--- a/tests/checker_test.cpp
+++ b/tests/checker_test.cpp
@@ -91,7 +91,7 @@
   Task(Kind::kTaskOn, "j", 3, "m1");
   EXPECT_EQ(Found(), "quota");
 }
-TEST_F(CheckerTest, KeepsATeamsPeakUseSinceTheLastLook) {
+TEST_F(CheckerTest, KeepsATeamsPeakUseSinceTheLastCall) {
   Machine("m1", "a").Job("j");
   Task(Kind::kTaskOn, "j", 0, "m1").Task(Kind::kTaskOn, "j", 1, "m1");
   Task(Kind::kTaskOff, "j", 0, "m1");
@@ -186,7 +186,7 @@
 }
 
 // A response to a query that was sent before a newer response arrived: no violation, but counted.
-TEST_F(CheckerTest, CountsAnswersToQuestionsAskedBeforeANewerAnswer) {
+TEST_F(CheckerTest, CountsResponsesToQueriesSentBeforeANewerResponse) {
   At(0).Job("job-1").User(Kind::kWithdraws, "job-1").At(2).Told("job-1", "withdrawn");
   At(2.5).Told("job-1", "pending", 1.5);
   EXPECT_EQ(checker.crossed(), 1);
@@ -197,11 +197,11 @@
   EXPECT_EQ(checker.broken()[0].rule, "went_back");
 }
 
-TEST_F(CheckerTest, ReportsAnAnswerAboutAnUnknownJob) {
-  Told("nobodys", "pending");
+TEST_F(CheckerTest, ReportsAStatusOfAnUnknownJob) {
+  Told("unknown", "pending");
   EXPECT_EQ(Found(), "invented");
 }
-TEST_F(CheckerTest, ReportsAJobCalledDoneTooEarly) {
+TEST_F(CheckerTest, ReportsAJobReportedDoneTooEarly) {
   Machine("m1", "a").Job("j").Task(Kind::kTaskDone, "j", 0).Told("j", "done");
   EXPECT_EQ(Found(), "not_done");
 }
@@ -211,7 +211,7 @@
 }
 // Guards against a false alarm (all-killed-thrice, seed 331): a query that was under way while the
 // cancellation was answered may return the state from before it. A later query may not.
-TEST_F(CheckerTest, AllowsAnOlderAnswerToAnEarlierQuestion) {
+TEST_F(CheckerTest, AllowsAnOlderResponseToAnEarlierQuery) {
   At(10).Job("j").User(Kind::kWithdraws, "j").Told("j", "withdrawn", 9).Told("j", "pending", 9.9);
   EXPECT_EQ(Found(), "");
   At(11).Told("j", "pending", 10.5);
--- a/tests/election_model_test.cpp
+++ b/tests/election_model_test.cpp
@@ -24,7 +24,7 @@
   return ExploredWorld(ElectionModel(plan), states, what);
 }
 
-TEST(ElectionModel, NoTwoMayStartWhateverIsLateLostOrEnds) {
+TEST(ElectionModel, OnlyOneNodeMayStartTasksUnderDelaysLossesAndRestarts) {
   ElectionPlan plan;
   plan.nodes = 2;
   plan.times = 8;
@@ -33,7 +33,7 @@
   EXPECT_EQ(Explored(plan, 100000, "three nodes").broken, "");
 }
 
-TEST(ElectionModel, PlantedFaultsAreFound) {
+TEST(ElectionModel, FindsInjectedFaults) {
   ElectionPlan plan;
   plan.nodes = 2;
   plan.times = 8;
@@ -41,8 +41,8 @@
   for (const auto& [fault, name] :
        {std::pair{PlantedInLease::kSlowClock, "a slow clock"},
         {PlantedInLease::kEarlyEnd, "a lease that ends early"},
-        {PlantedInLease::kNoGuards, "commits without guards"},
-        {PlantedInLease::kLeaseOfName, "a lease that a new life shares with the last"}}) {
+        {PlantedInLease::kNoGuards, "commits without preconditions"},
+        {PlantedInLease::kLeaseOfName, "a lease that is shared with the previous run"}}) {
     plan.planted = fault;
     // The last fault needs a restart with a request that is executed after it.
     plan.ends = fault == PlantedInLease::kLeaseOfName ? 1 : 0;
@@ -52,10 +52,10 @@
 
 // Guards against a cancelled task that keeps running, or starts again, because a controller that
 // could not know of the cancellation kept renewing the agent's lease.
-TEST(CancelModel, NothingCancelledIsThereOrStartsPastItsTime) {
+TEST(CancelModel, NoCancelledTaskRunsOrStartsAfterTheDeadline) {
   CancelPlan plan;
   plan.troubles = 1;
-  const Outcome out = ExploredWorld(CancelModel(plan), 100000, "from a quiet site");
+  const Outcome out = ExploredWorld(CancelModel(plan), 100000, "without earlier events");
   EXPECT_EQ(out.broken, "");
   EXPECT_TRUE(out.whole);
   for (const std::vector<std::string>& first : {std::vector<std::string>{"refuse a", "cancel"},
@@ -67,27 +67,29 @@
   }
 }
 
-TEST(CancelModel, PlantedFaultsAreFound) {
+TEST(CancelModel, FindsInjectedFaults) {
   struct Fault {
     PlantedInAuthority planted;
     int troubles;
     std::vector<std::string> first;
     const char* name;
   };
-  const std::vector<Fault> faults = {
-      {PlantedInAuthority::kRenewalIsKnowledge, 1, {}, "a renewal taken for knowledge"},
-      {PlantedInAuthority::kUnreadAnswers,
-       1,
-       {"refuse a", "cancel", "hang b", "second", "second"},
-       "answers before the jobs are read"},
-      {PlantedInAuthority::kArrivalIsKnowledge,
-       2,
-       {"hang a", "second", "cancel", "second", "second", "second"},
-       "counted from the answer's arrival"},
-      {PlantedInAuthority::kNoHaltInGreeting,
-       2,
-       {"refuse a", "cancel", "second", "second", "second"},
-       "a greeting that stops nothing"}};
+  const std::vector<Fault> faults = {{PlantedInAuthority::kRenewalIsKnowledge,
+                                      1,
+                                      {},
+                                      "records counted as current since the lease renewal"},
+                                     {PlantedInAuthority::kUnreadAnswers,
+                                      1,
+                                      {"refuse a", "cancel", "hang b", "second", "second"},
+                                      "responses before the job records are read"},
+                                     {PlantedInAuthority::kArrivalIsKnowledge,
+                                      2,
+                                      {"hang a", "second", "cancel", "second", "second", "second"},
+                                      "records counted as current since the response's arrival"},
+                                     {PlantedInAuthority::kNoHaltInGreeting,
+                                      2,
+                                      {"refuse a", "cancel", "second", "second", "second"},
+                                      "a first response that stops no task"}};
   for (const Fault& f : faults) {
     CancelPlan plan;
     plan.planted = f.planted;
@@ -96,7 +98,7 @@
     EXPECT_NE(ExploredWorld(CancelModel(plan), 60000, f.name).broken, "") << f.name;
     // The same start without the fault.
     plan.planted = PlantedInAuthority::kNone;
-    EXPECT_EQ(ExploredWorld(CancelModel(plan), 20000, "without").broken, "") << f.name;
+    EXPECT_EQ(ExploredWorld(CancelModel(plan), 20000, "without the fault").broken, "") << f.name;
   }
 }
 
--- a/tests/kept_scenario_test.cpp
+++ b/tests/kept_scenario_test.cpp
@@ -72,7 +72,7 @@
   }
 };
 
-TEST_P(KeptScenario, BreaksNothingAndEndsTheSameWithEverySeed) {
+TEST_P(KeptScenario, HasNoViolationAndTheSameFinalStatesWithEverySeed) {
   const config::Scenario scenario =
       config::LoadScenario(std::string(BADGERSHORE_SCENARIOS) + "/" + GetParam() + ".yaml");
   std::map<std::string, std::string> ends;
@@ -95,7 +95,7 @@
 
 // scenarios/ holds only scenarios that `run` plays, each listed above; the site of `up` is built
 // in. Guards against a site definition in that folder that no run could finish.
-TEST(Scenario, EveryKeptFileIsPlayedAndTheBuiltInSiteIsValid) {
+TEST(Scenario, EveryKeptFileIsRunAndTheBuiltInSiteIsValid) {
   const auto& played = KeptScenario::Names();
   size_t kept = 0;
   for (const auto& f : std::filesystem::directory_iterator(BADGERSHORE_SCENARIOS)) {
@@ -107,7 +107,7 @@
   EXPECT_FALSE(config::SmallSite().types.empty());
 }
 
-TEST(Scenario, JobsThatWaitTheirTurnAtTheirTeamsLimitAreNotReportedAsLeft) {
+TEST(Scenario, JobsThatWaitAtTheirTeamsLimitAreNotReported) {
   constexpr uint64_t kSeedWithALongQueueAtTheLimit = 7038;
   const config::Scenario scenario =
       config::LoadScenario(std::string(BADGERSHORE_SCENARIOS) + "/limits-hang-and-cut.yaml");
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 // Guards against passing a scenario in which a team's jobs are not done, or done too late.
-TEST(Service, HalfServedOrLateFailsAScenario) {
+TEST(ServiceStats, ReportsClassesThatAreHalfDoneOrLate) {
   Service service({{"lane", {0, 10}}});
   const auto see = [&](Event::Kind kind, const std::string& job, int64_t at_s,
                        const std::string& text) {
@@ -39,7 +39,7 @@
 }
 
 // Guards against small jobs that hide that the largest jobs of their class are still waiting.
-TEST(Service, TheLargestJobsAreLookedAtAlone) {
+TEST(ServiceStats, ChecksTheLargestJobsSeparately) {
   Service service({});
   const auto see = [&](Event::Kind kind, int job, int64_t at_s, int tasks) {
     Event e;
