--- a/src/check/cancel_model.cpp
+++ b/src/check/cancel_model.cpp
@@ -11,18 +11,18 @@
 
 // Short durations, in the same order as PROTOCOL's: leader's lease, agent lease, cancellation
 // deadline.
-constexpr Micros kLease = Seconds(2), kWorkerLease = Seconds(4), kCancel = Millis(9500);
-constexpr Micros kTick = Millis(250), kWatch = Millis(500), kPatience = Seconds(4);
+constexpr Micros kLease = Seconds(2), kAgentLease = Seconds(4), kCancelDeadline = Millis(9500);
+constexpr Micros kTick = Millis(250), kWatch = Millis(500), kResponseTimeout = Seconds(4);
 const std::string kJobKey = keys::kJob + "job-1";
 // The clocks of the first controller and of the agent differ by the largest allowed error.
 constexpr double kSlow = 0.9995, kFast = 1.0005;
 
-class World : public Play {
+class World : public ReplayableModel {
  public:
   struct Watch {
     StateRequest op;
     Micros sent;
-    std::optional<StateResponse> held;  // executed, not delivered yet
+    std::optional<StateResponse> response;  // executed, not delivered yet
   };
   struct Node {
     std::unique_ptr<Outbox> outbox;
@@ -30,34 +30,34 @@
     std::unique_ptr<KeyRangeCache> jobs;
     std::unique_ptr<LeaderAuthority> authority;
     std::vector<Watch> watches;
-    bool won = false, lost = false, knows = false;
-    bool refused = false, hangs = false;
-    Micros news_at{-1000000000};  // when the last list or watch response arrived
+    bool won = false, lost = false, job_exists = false;
+    bool state_refuses = false, withholds_responses = false;
+    Micros last_response_at{-1000000000};  // when the last list or watch response arrived
   };
 
   explicit World(const CancelPlan& p) : plan(p) {
-    state.lease = kLease;
+    state.renew_duration = kLease;
     JobSpec spec;
     spec.id = "job-1";
-    ++state.epoch;
+    ++state.revision;
     state.Put(kJobKey, spec);
-    for (size_t i = 0; i < nodes.size(); ++i) Start(i);
+    for (size_t i = 0; i < nodes.size(); ++i) StartNode(i);
     // Elects a leader, to which the agent sends heartbeats and which starts the task.
-    for (int i = 0; i < 4; ++i) Do("second");
+    for (int i = 0; i < 4; ++i) Apply("second");
     seconds = 0;
-    for (const std::string& event : p.first) Do(event);
-    troubles = 0;
+    for (const std::string& event : p.initial_events) Apply(event);
+    faults = 0;
   }
 
   Micros Clock(size_t i) const { return i == 0 ? now.Scaled(kSlow) : now; }
-  Micros WorkerClock() const { return now.Scaled(1 / kFast); }
+  Micros AgentClock() const { return now.Scaled(1 / kFast); }
 
-  void Start(size_t i) {
+  void StartNode(size_t i) {
     Node& n = nodes[i];
-    const bool refused = n.refused, hangs = n.hangs;
+    const bool state_refuses = n.state_refuses, withholds_responses = n.withholds_responses;
     n = Node();
-    n.refused = refused;
-    n.hangs = hangs;
+    n.state_refuses = state_refuses;
+    n.withholds_responses = withholds_responses;
     n.outbox = std::make_unique<Outbox>();
     Election::Callbacks callbacks;
     callbacks.on_elected = [&n](Micros) { n.won = true; };
@@ -70,25 +70,25 @@
 
   // Creates the leader's state when a term begins, with the job records still to be read, and drops
   // it when the term ends.
-  void LeaderContext(Node* n) {
+  void UpdateLeaderState(Node* n) {
     if (std::exchange(n->lost, false)) {
       n->authority.reset();
       n->jobs.reset();
-      n->knows = false;
+      n->job_exists = false;
     }
     if (!std::exchange(n->won, false)) return;
     n->jobs = std::make_unique<KeyRangeCache>(
-        n->outbox.get(), keys::kJob, [n](Micros, const Entry& e) { n->knows = !e.deleted; },
+        n->outbox.get(), keys::kJob, [n](Micros, const Entry& e) { n->job_exists = !e.deleted; },
         [](Micros) {}, kWatch);
-    n->authority = std::make_unique<LeaderAuthority>(n->election.get(), n->jobs.get(), kCancel,
-                                                     kWorkerLease, kLease);
+    n->authority = std::make_unique<LeaderAuthority>(n->election.get(), n->jobs.get(),
+                                                     kCancelDeadline, kAgentLease, kLease);
   }
 
-  void Serve(size_t i) {
+  void ExecuteRequests(size_t i) {
     Node& n = nodes[i];
-    const bool served = !down && !n.refused;
+    const bool served = !state_down && !n.state_refuses;
     for (int round = 0; round < 8; ++round) {
-      LeaderContext(&n);
+      UpdateLeaderState(&n);
       if (n.jobs) n.jobs->Tick(Clock(i));
       std::vector<StateRequest> ops = std::exchange(n.outbox->effects.state_requests, {});
       if (ops.empty()) break;
@@ -99,23 +99,24 @@
         }
         StateResponse r;
         r.outcome = StateResponse::Outcome::kRefused;
-        const bool lost = n.hangs && op.kind == StateRequest::Kind::kList && op.key == keys::kJob;
-        if (served && !lost) r = state.Carry(now, i, op);
+        const bool list_lost =
+            n.withholds_responses && op.kind == StateRequest::Kind::kList && op.key == keys::kJob;
+        if (served && !list_lost) r = state.Execute(now, i, op);
         if (r.ok() && op.kind == StateRequest::Kind::kList && op.key == keys::kJob)
-          n.news_at = Clock(i);
+          n.last_response_at = Clock(i);
         n.outbox->Deliver(Clock(i), op.id, r);
       }
     }
     for (Watch& w : std::exchange(n.watches, {})) {
-      if (!w.held && served) {
-        StateResponse r = state.Since(w.op);
-        if (!r.entries.empty() || now - w.sent >= w.op.duration) w.held = r;
+      if (!w.response && served) {
+        StateResponse r = state.ChangesSince(w.op);
+        if (!r.entries.empty() || now - w.sent >= w.op.duration) w.response = r;
       }
-      const bool of_jobs = w.op.key == keys::kJob;
-      if (w.held && !(n.hangs && of_jobs)) {
-        if (of_jobs) n.news_at = Clock(i);
-        n.outbox->Deliver(Clock(i), w.op.id, *w.held);
-      } else if (now - w.sent > w.op.duration + kPatience) {
+      const bool watches_jobs = w.op.key == keys::kJob;
+      if (w.response && !(n.withholds_responses && watches_jobs)) {
+        if (watches_jobs) n.last_response_at = Clock(i);
+        n.outbox->Deliver(Clock(i), w.op.id, *w.response);
+      } else if (now - w.sent > w.op.duration + kResponseTimeout) {
         StateResponse none;
         n.outbox->Deliver(Clock(i), w.op.id, none);
       } else {
@@ -126,134 +127,138 @@
 
   bool MayAnswer(size_t i) const {
     const Node& n = nodes[i];
-    const Micros span = kCancel - kWorkerLease - Seconds(2);
-    switch (plan.planted) {
-      case PlantedInAuthority::kUnreadAnswers:
+    const Micros span = kCancelDeadline - kAgentLease - Seconds(2);
+    switch (plan.fault) {
+      case AuthorityFault::kAnswerBeforeRead:
         if (!n.jobs->synced()) return Clock(i) < n.election->confirmed_at() + span;
         break;
-      case PlantedInAuthority::kRenewalIsKnowledge:
+      case AuthorityFault::kCountFromRenewal:
         return n.jobs->synced() && Clock(i) < n.election->confirmed_at() + span;
-      case PlantedInAuthority::kArrivalIsKnowledge:
+      case AuthorityFault::kCountFromArrival:
         return n.jobs->synced() &&
-               Clock(i) < std::min(n.election->confirmed_at(), n.news_at) + span;
+               Clock(i) < std::min(n.election->confirmed_at(), n.last_response_at) + span;
       default:
         break;
     }
     return n.jobs->synced() && n.authority->MayAnswer(Clock(i));
   }
 
-  void Report() {
-    const Node& n = nodes[at];
-    if (!n.election->leads() || !n.authority || !MayAnswer(at)) return;
+  void SendHeartbeat() {
+    const Node& n = nodes[agent_node];
+    if (!n.election->leads() || !n.authority || !MayAnswer(agent_node)) return;
     const uint64_t term = n.election->term();
     if (term < fencing_token) return;
-    const bool greeted = std::exchange(fencing_token, term) != term;
-    lease_end = WorkerClock() + kWorkerLease;
-    if (on && n.jobs->synced() && !n.knows &&
-        !(greeted && plan.planted == PlantedInAuthority::kNoHaltInGreeting)) {
-      on = false;
+    const bool first_response = std::exchange(fencing_token, term) != term;
+    lease_end = AgentClock() + kAgentLease;
+    if (task_running && n.jobs->synced() && !n.job_exists &&
+        !(first_response && plan.fault == AuthorityFault::kNoStopInFirstResponse)) {
+      task_running = false;
     }
-    if (!on && !greeted && n.knows && n.authority->MayStart(Clock(at))) {
-      on = true;
-      if (cancelled >= Micros{} && now - cancelled > kCancel) late = "starts";
+    if (!task_running && !first_response && n.job_exists &&
+        n.authority->MayStart(Clock(agent_node))) {
+      task_running = true;
+      if (cancelled_at >= Micros{} && now - cancelled_at > kCancelDeadline) violation = "starts";
     }
   }
 
   void Tick() {
     now += kTick;
-    if (!down) state.EndLeases(now);
+    if (!state_down) state.ExpireLeases(now);
     for (size_t i = 0; i < nodes.size(); ++i) {
       nodes[i].election->Tick(Clock(i));
-      Serve(i);
+      ExecuteRequests(i);
     }
-    if (WorkerClock() >= lease_end) {  // the agent kills all tasks and starts a new epoch
-      on = false;
-      lease_end = WorkerClock() + kWorkerLease;
+    if (AgentClock() >= lease_end) {  // the agent kills all tasks and starts a new epoch
+      task_running = false;
+      lease_end = AgentClock() + kAgentLease;
     }
-    if (on && cancelled >= Micros{} && now - cancelled > kCancel) late = "is running";
+    if (task_running && cancelled_at >= Micros{} && now - cancelled_at > kCancelDeadline)
+      violation = "is running";
   }
 
-  void Do(const std::string& event) override {
+  void Apply(const std::string& event) override {
     if (event == "second") {
       ++seconds;
       for (int i = 0; i < 4; ++i) Tick();
-      return Report();
+      return SendHeartbeat();
     }
     if (event == "cancel") {
-      ++state.epoch;
+      ++state.revision;
       state.Erase(kJobKey);
-      cancelled = now;
+      cancelled_at = now;
       return;
     }
-    ++troubles;
+    ++faults;
     const size_t i = event.back() == 'b' ? 1 : 0;
     if (event == "outage") {
-      down = !down;
-      if (!down) {
+      state_down = !state_down;
+      if (!state_down) {
         for (auto& [id, until] : state.leases) until = now + kLease;
       }
     } else if (event.starts_with("refuse")) {
-      nodes[i].refused = !nodes[i].refused;
+      nodes[i].state_refuses = !nodes[i].state_refuses;
     } else if (event.starts_with("hang")) {
-      nodes[i].hangs = !nodes[i].hangs;
+      nodes[i].withholds_responses = !nodes[i].withholds_responses;
     } else if (event == "moves") {
-      at = 1 - at;
+      agent_node = 1 - agent_node;
     } else {
-      Start(i);
+      StartNode(i);
     }
   }
 
   std::vector<std::string> Events() const override {
     std::vector<std::string> out;
     if (seconds < plan.seconds) out.emplace_back("second");
-    if (cancelled < Micros{} && !down) out.emplace_back("cancel");
-    if (troubles >= plan.troubles) return out;
+    if (cancelled_at < Micros{} && !state_down) out.emplace_back("cancel");
+    if (faults >= plan.faults) return out;
     out.insert(out.end(),
                {"outage", "moves", "refuse a", "refuse b", "hang a", "hang b", "ends a", "ends b"});
     return out;
   }
   std::string Key() const override {
-    const auto until = [&](Micros at) { return std::to_string((at - now).count) + ' '; };
-    std::string key = std::to_string(seconds) + ' ' + std::to_string(troubles) + ' ' +
-                      std::to_string(at) + std::to_string(down) + std::to_string(on) + ' ' +
-                      std::to_string(fencing_token) + ' ' + until(lease_end) + until(cancelled) +
-                      std::to_string(state.epoch);
+    const auto until = [&](Micros time) { return std::to_string((time - now).count) + ' '; };
+    std::string key = std::to_string(seconds) + ' ' + std::to_string(faults) + ' ' +
+                      std::to_string(agent_node) + std::to_string(state_down) +
+                      std::to_string(task_running) + ' ' + std::to_string(fencing_token) + ' ' +
+                      until(lease_end) + until(cancelled_at) + std::to_string(state.revision);
     for (const auto& [lease, end] : state.leases) key += std::to_string(lease) + until(end);
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
-      key += '|' + n.election->Fingerprint(Clock(i)) + std::to_string(n.refused) +
-             std::to_string(n.hangs) + std::to_string(n.knows);
+      key += '|' + n.election->Fingerprint(Clock(i)) + std::to_string(n.state_refuses) +
+             std::to_string(n.withholds_responses) + std::to_string(n.job_exists);
       if (n.jobs) {
-        key += std::to_string(n.jobs->synced()) + until(n.jobs->known_as_of()) + until(n.news_at);
+        key += std::to_string(n.jobs->synced()) + until(n.jobs->known_as_of()) +
+               until(n.last_response_at);
       }
       key += until(n.election->confirmed_at());
       for (const Watch& w : n.watches) {
-        key += 'w' + std::to_string(w.op.revision) + until(w.sent) + (w.held ? "h" : "");
+        key += 'w' + std::to_string(w.op.revision) + until(w.sent) + (w.response ? "h" : "");
       }
     }
     return key;
   }
-  std::string Broken() const override {
-    return late.empty() ? "" : "a task of the cancelled job " + late + " after the deadline";
+  std::string Violation() const override {
+    return violation.empty() ? ""
+                             : "a task of the cancelled job " + violation + " after the deadline";
   }
 
  private:
   CancelPlan plan;
   std::array<Node, 2> nodes;
-  SmallState state;
+  FakeStateService state;
   Micros now = Seconds(100);
-  int seconds = 0, troubles = 0;
-  bool down = false, on = false;
-  size_t at = 0;
+  int seconds = 0, faults = 0;
+  bool state_down = false, task_running = false;
+  size_t agent_node = 0;
   uint64_t fencing_token = 0;
-  Micros lease_end = kNever, cancelled{-1};
-  std::string late;
+  Micros lease_end = kNever, cancelled_at{-1};
+  std::string violation;
 };
 
 }  // namespace
 
-Replayed CancelModel(const CancelPlan& plan) {
-  return Replayed([plan] { return std::make_unique<World>(plan); });
+ReplayedWorld CancelModel(const CancelPlan& plan) {
+  return ReplayedWorld([plan] { return std::make_unique<World>(plan); });
 }
 
 }  // namespace badgershore::check
--- a/src/check/cancel_model.h
+++ b/src/check/cancel_model.h
@@ -12,20 +12,20 @@
 
 namespace badgershore::check {
 
-enum class PlantedInAuthority {
+enum class AuthorityFault {
   kNone,
-  kRenewalIsKnowledge,  // job records count as current since the leader's last lease renewal
-  kUnreadAnswers,       // heartbeats are answered before the job records are read
-  kArrivalIsKnowledge,  // job records count as current since a watch response arrived
-  kNoHaltInGreeting     // the first heartbeat response of a term stops no task
+  kCountFromRenewal,      // job records count as current since the leader's last lease renewal
+  kAnswerBeforeRead,      // heartbeats are answered before the job records are read
+  kCountFromArrival,      // job records count as current since a watch response arrived
+  kNoStopInFirstResponse  // the first heartbeat response of a term stops no task
 };
 
 struct CancelPlan {
-  int seconds = 16, troubles = 4;  // bounds on simulated time and on the number of faults
-  PlantedInAuthority planted = PlantedInAuthority::kNone;
-  std::vector<std::string> first;  // events applied before the exploration
+  int seconds = 16, faults = 4;  // bounds on simulated time and on the number of faults
+  AuthorityFault fault = AuthorityFault::kNone;
+  std::vector<std::string> initial_events;  // events applied before the exploration
 };
 
-Replayed CancelModel(const CancelPlan& plan);
+ReplayedWorld CancelModel(const CancelPlan& plan);
 
 }  // namespace badgershore::check
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -11,34 +11,35 @@
 
 constexpr Micros kLease = Millis(900), kStep = Millis(300);
 
-class World : public Play {
+class World : public ReplayableModel {
  public:
   struct Node {
     std::unique_ptr<Outbox> outbox;
     std::unique_ptr<Election> election;
-    std::vector<StateRequest> late;                         // sent, not executed yet
-    std::vector<std::pair<RequestId, StateResponse>> held;  // executed, not answered yet
+    std::vector<StateRequest> delayed_requests;  // sent, not executed yet
+    // Of requests that are executed, but not answered yet.
+    std::vector<std::pair<RequestId, StateResponse>> delayed_responses;
     std::vector<StateRequest> watches;
     bool retiring = false;
   };
   explicit World(const ElectionPlan& p) : plan(p), nodes(static_cast<size_t>(p.nodes)) {
-    state.lease = kLease;
-    state.ends_early = p.planted == PlantedInLease::kEarlyEnd ? Millis(500) : Micros{};
-    state.no_guards = p.planted == PlantedInLease::kNoGuards;
-    state.lease_of_name = p.planted == PlantedInLease::kLeaseOfName;
-    for (size_t i = 0; i < nodes.size(); ++i) Start(i);
+    state.renew_duration = kLease;
+    state.expire_early = p.fault == ElectionFault::kEarlyExpiry ? Millis(500) : Micros{};
+    state.ignore_preconditions = p.fault == ElectionFault::kIgnoredPreconditions;
+    state.reuse_lease_ids = p.fault == ElectionFault::kReusedLeaseId;
+    for (size_t i = 0; i < nodes.size(); ++i) StartNode(i);
   }
 
   std::string Name(size_t i) const { return std::string(1, static_cast<char>('a' + i)); }
   Micros Clock(size_t i) const {
-    return plan.planted == PlantedInLease::kSlowClock && i == 0 ? now.Scaled(0.3) : now;
+    return plan.fault == ElectionFault::kSlowClock && i == 0 ? now.Scaled(0.3) : now;
   }
 
-  void Start(size_t i) {
+  void StartNode(size_t i) {
     Node& n = nodes[i];
     n.election.reset();
-    n.late.clear();
-    n.held.clear();
+    n.delayed_requests.clear();
+    n.delayed_responses.clear();
     n.watches.clear();
     n.retiring = false;
     n.outbox = std::make_unique<Outbox>();
@@ -50,9 +51,10 @@
                                             std::move(callbacks));
   }
 
-  enum class How { kAtOnce, kLateAnswer, kLateRequest, kLost };
-  // Executes and answers the node's requests as `how` says. Watches are answered by News.
-  void Serve(size_t i, How how) {
+  enum class Delivery { kImmediate, kDelayedResponse, kDelayedRequest, kLost };
+  // Executes and answers the node's requests as `delivery` says. Watches are answered by
+  // DeliverWatches.
+  void ExecuteRequests(size_t i, Delivery delivery) {
     Node& n = nodes[i];
     for (int round = 0; round < 6; ++round) {
       std::vector<StateRequest> ops = std::exchange(n.outbox->effects.state_requests, {});
@@ -60,13 +62,13 @@
       for (StateRequest& op : ops) {
         if (op.kind == StateRequest::Kind::kWatch) {
           n.watches.push_back(op);
-        } else if (how == How::kLateRequest) {
-          n.late.push_back(op);
+        } else if (delivery == Delivery::kDelayedRequest) {
+          n.delayed_requests.push_back(op);
         } else {
-          StateResponse r = state.Carry(now, i, op);
-          if (how == How::kLost) r = StateResponse{};
-          if (how == How::kLateAnswer) {
-            n.held.emplace_back(op.id, r);
+          StateResponse r = state.Execute(now, i, op);
+          if (delivery == Delivery::kLost) r = StateResponse{};
+          if (delivery == Delivery::kDelayedResponse) {
+            n.delayed_responses.emplace_back(op.id, r);
           } else {
             n.outbox->Deliver(Clock(i), op.id, r);
           }
@@ -74,10 +76,10 @@
       }
     }
   }
-  void News(size_t i) {
+  void DeliverWatches(size_t i) {
     Node& n = nodes[i];
     for (StateRequest& op : std::exchange(n.watches, {})) {
-      StateResponse r = state.Since(op);
+      StateResponse r = state.ChangesSince(op);
       if (r.entries.empty()) {
         n.watches.push_back(op);
       } else {
@@ -86,84 +88,87 @@
     }
   }
 
-  void Do(const std::string& event) override {
+  void Apply(const std::string& event) override {
     const size_t space = event.find(' ');
-    const std::string what = event.substr(0, space);
-    if (what == "time") {
+    const std::string action = event.substr(0, space);
+    if (action == "time") {
       now += kStep;
-      ++times;
-      state.EndLeases(now);
+      ++time_steps;
+      state.ExpireLeases(now);
       return;
     }
-    if (what == "orphan") {
-      const auto [of, op] = orphans.front();
-      orphans.erase(orphans.begin());
-      state.Carry(now, of, op);
+    if (action == "orphan") {
+      const auto [of, op] = orphaned_requests.front();
+      orphaned_requests.erase(orphaned_requests.begin());
+      state.Execute(now, of, op);
       return;
     }
     const auto i = static_cast<size_t>(event[space + 1] - 'a');
     Node& n = nodes[i];
-    if (what == "ends") {
-      ++ends;
+    if (action == "ends") {
+      ++restarts;
       // It restarts at once. Requests of its previous run are executed at any later time, or never.
-      for (StateRequest& op : nodes[i].late) orphans.emplace_back(i, std::move(op));
-      Start(i);
+      for (StateRequest& op : nodes[i].delayed_requests)
+        orphaned_requests.emplace_back(i, std::move(op));
+      StartNode(i);
       return;
     }
-    if (what == "retires") {
-      ++retires;
+    if (action == "retires") {
+      ++handovers;
       n.retiring = true;
       n.election->HandOver(Clock(i), Name((i + 1) % nodes.size()));
-      return Serve(i, How::kAtOnce);
+      return ExecuteRequests(i, Delivery::kImmediate);
     }
-    if (what == "answers") {
-      for (auto& [id, r] : std::exchange(n.held, {})) n.outbox->Deliver(Clock(i), id, r);
-      for (const StateRequest& op : std::exchange(n.late, {})) {
-        StateResponse r = state.Carry(now, i, op);
+    if (action == "answers") {
+      for (auto& [id, r] : std::exchange(n.delayed_responses, {}))
+        n.outbox->Deliver(Clock(i), id, r);
+      for (const StateRequest& op : std::exchange(n.delayed_requests, {})) {
+        StateResponse r = state.Execute(now, i, op);
         n.outbox->Deliver(Clock(i), op.id, r);
       }
-      return Serve(i, How::kAtOnce);
+      return ExecuteRequests(i, Delivery::kImmediate);
     }
-    lates += what == "late-answer" || what == "late-request";
-    losses += what == "lost";
-    News(i);
+    delays += action == "late-answer" || action == "late-request";
+    losses += action == "lost";
+    DeliverWatches(i);
     n.election->Tick(Clock(i));
-    Serve(i, what == "late-answer"    ? How::kLateAnswer
-             : what == "late-request" ? How::kLateRequest
-             : what == "lost"         ? How::kLost
-                                      : How::kAtOnce);
+    ExecuteRequests(i, action == "late-answer"    ? Delivery::kDelayedResponse
+                       : action == "late-request" ? Delivery::kDelayedRequest
+                       : action == "lost"         ? Delivery::kLost
+                                                  : Delivery::kImmediate);
   }
 
   std::vector<std::string> Events() const override {
     std::vector<std::string> out;
-    if (times < plan.times) out.emplace_back("time -");
-    if (!orphans.empty()) out.emplace_back("orphan -");
+    if (time_steps < plan.time_steps) out.emplace_back("time -");
+    if (!orphaned_requests.empty()) out.emplace_back("orphan -");
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
       const std::string name = Name(i);
       out.push_back("ticks " + name);
-      if (lates < plan.lates) {
+      if (delays < plan.delays) {
         out.push_back("late-answer " + name);
         out.push_back("late-request " + name);
       }
       if (losses < plan.losses) out.push_back("lost " + name);
-      if (!n.late.empty() || !n.held.empty()) out.push_back("answers " + name);
-      if (ends < plan.ends) out.push_back("ends " + name);
-      if (retires < plan.retires && n.election->leads()) out.push_back("retires " + name);
+      if (!n.delayed_requests.empty() || !n.delayed_responses.empty())
+        out.push_back("answers " + name);
+      if (restarts < plan.restarts) out.push_back("ends " + name);
+      if (handovers < plan.handovers && n.election->leads()) out.push_back("retires " + name);
     }
     return out;
   }
   std::string Key() const override {
-    std::string key = std::to_string(times) + ' ' + std::to_string(ends) + ' ' +
-                      std::to_string(lates) + ' ' + std::to_string(losses) + ' ' +
-                      std::to_string(retires) + ' ' + std::to_string(state.epoch) + ';';
+    std::string key = std::to_string(time_steps) + ' ' + std::to_string(restarts) + ' ' +
+                      std::to_string(delays) + ' ' + std::to_string(losses) + ' ' +
+                      std::to_string(handovers) + ' ' + std::to_string(state.revision) + ';';
     for (const auto& [k, item] : state.items) {
-      key += k + ' ' + std::to_string(item.stamp) + ' ' + std::to_string(item.lease) + ';';
+      key += k + ' ' + std::to_string(item.version) + ' ' + std::to_string(item.lease) + ';';
     }
     for (const auto& [lease, until] : state.leases) {
       key += std::to_string(lease) + ' ' + std::to_string((until - now).count) + ';';
     }
-    for (const auto& [of, op] : orphans) {
+    for (const auto& [of, op] : orphaned_requests) {
       key += "orphan" + std::to_string(of) + ' ' + std::to_string(static_cast<int>(op.kind)) + ' ' +
              std::to_string(op.lease) + ' ';
       for (const Precondition& g : op.preconditions) key += std::to_string(g.version) + ' ';
@@ -171,37 +176,38 @@
     for (size_t i = 0; i < nodes.size(); ++i) {
       const Node& n = nodes[i];
       key += '|' + n.election->Fingerprint(Clock(i));
-      for (const StateRequest& op : n.late) {
+      for (const StateRequest& op : n.delayed_requests) {
         key += " late" + std::to_string(static_cast<int>(op.kind)) + std::to_string(op.lease);
       }
-      for (const auto& [id, r] : n.held) {
+      for (const auto& [id, r] : n.delayed_responses) {
         key += " held" + std::to_string(static_cast<int>(r.outcome)) + std::to_string(r.revision);
       }
       for (const StateRequest& op : n.watches) key += " w" + std::to_string(op.revision);
     }
     return key;
   }
-  std::string Broken() const override {
-    std::string may;
+  std::string Violation() const override {
+    std::string eligible;
     for (size_t i = 0; i < nodes.size(); ++i) {
-      if (nodes[i].election->MayStart(Clock(i))) may += Name(i);
+      if (nodes[i].election->MayStart(Clock(i))) eligible += Name(i);
     }
-    return may.size() > 1 ? "nodes " + may + " may start tasks at the same time" : "";
+    return eligible.size() > 1 ? "nodes " + eligible + " may start tasks at the same time" : "";
   }
 
  private:
   ElectionPlan plan;
   std::vector<Node> nodes;
-  std::vector<std::pair<size_t, StateRequest>> orphans;  // sent by a previous run of a node
+  // Sent by a previous run of a node.
+  std::vector<std::pair<size_t, StateRequest>> orphaned_requests;
   Micros now = Seconds(10);
-  int times = 0, ends = 0, lates = 0, losses = 0, retires = 0;
-  SmallState state;
+  int time_steps = 0, restarts = 0, delays = 0, losses = 0, handovers = 0;
+  FakeStateService state;
 };
 
 }  // namespace
 
-Replayed ElectionModel(const ElectionPlan& plan) {
-  return Replayed([plan] { return std::make_unique<World>(plan); });
+ReplayedWorld ElectionModel(const ElectionPlan& plan) {
+  return ReplayedWorld([plan] { return std::make_unique<World>(plan); });
 }
 
 }  // namespace badgershore::check
--- a/src/check/election_model.h
+++ b/src/check/election_model.h
@@ -13,15 +13,15 @@
 namespace badgershore::check {
 
 // A fault injected around the election. The exploration must find each.
-enum class PlantedInLease { kNone, kSlowClock, kEarlyEnd, kNoGuards, kLeaseOfName };
+enum class ElectionFault { kNone, kSlowClock, kEarlyExpiry, kIgnoredPreconditions, kReusedLeaseId };
 
 struct ElectionPlan {
   int nodes = 3;
-  int ends = 1, lates = 1, losses = 1, retires = 1;
-  int times = 12;  // time steps of a third of a lease
-  PlantedInLease planted = PlantedInLease::kNone;
+  int restarts = 1, delays = 1, losses = 1, handovers = 1;
+  int time_steps = 12;  // time steps of a third of a lease
+  ElectionFault fault = ElectionFault::kNone;
 };
 
-Replayed ElectionModel(const ElectionPlan& plan);
+ReplayedWorld ElectionModel(const ElectionPlan& plan);
 
 }  // namespace badgershore::check
--- a/src/check/explore.h
+++ b/src/check/explore.h
@@ -2,8 +2,8 @@
 // state, a state violates an invariant or the bound on states is reached.
 //
 // World is copied for each step and has: Events(), the names of the events that are possible next;
-// Happen(event), which applies one; Key(), equal for equal states; Broken(), the violated invariant
-// or empty.
+// Apply(event), which applies one; Key(), equal for equal states; Violation(), the violated
+// invariant or empty.
 #pragma once
 
 #include <algorithm>
@@ -18,63 +18,67 @@
 
 namespace badgershore::check {
 
-// A model around code under test that can't be copied: Replayed keeps the list of events and
+// A model around code under test that can't be copied: ReplayedWorld keeps the list of events and
 // replays them.
-class Play {
+class ReplayableModel {
  public:
-  virtual ~Play() = default;
+  virtual ~ReplayableModel() = default;
   virtual std::vector<std::string> Events() const = 0;
-  virtual void Do(const std::string& event) = 0;
+  virtual void Apply(const std::string& event) = 0;
   virtual std::string Key() const = 0;
-  virtual std::string Broken() const = 0;
+  virtual std::string Violation() const = 0;
 };
 
-class Replayed {
+class ReplayedWorld {
  public:
-  explicit Replayed(std::function<std::unique_ptr<Play>()> begin) : begin_(std::move(begin)) {}
-  Replayed(const Replayed& other) : begin_(other.begin_), events_(other.events_) {}
-  Replayed(Replayed&&) = default;
-  std::vector<std::string> Events() const { return Now().Events(); }
-  void Happen(const std::string& event) {
+  explicit ReplayedWorld(std::function<std::unique_ptr<ReplayableModel>()> make_model)
+      : make_model_(std::move(make_model)) {}
+  ReplayedWorld(const ReplayedWorld& other)
+      : make_model_(other.make_model_), events_(other.events_) {}
+  ReplayedWorld(ReplayedWorld&&) = default;
+  std::vector<std::string> Events() const { return Current().Events(); }
+  void Apply(const std::string& event) {
     events_.push_back(event);
-    if (play_) play_->Do(event);
+    if (model_) model_->Apply(event);
   }
-  std::string Key() const { return Now().Key(); }
-  std::string Broken() const { return Now().Broken(); }
+  std::string Key() const { return Current().Key(); }
+  std::string Violation() const { return Current().Violation(); }
 
  private:
-  const Play& Now() const {
-    if (!play_) {
-      play_ = begin_();
-      for (const std::string& e : events_) play_->Do(e);
+  const ReplayableModel& Current() const {
+    if (!model_) {
+      model_ = make_model_();
+      for (const std::string& e : events_) model_->Apply(e);
     }
-    return *play_;
+    return *model_;
   }
-  std::function<std::unique_ptr<Play>()> begin_;
+  std::function<std::unique_ptr<ReplayableModel>()> make_model_;
   std::vector<std::string> events_;
-  mutable std::unique_ptr<Play> play_;  // created when needed; not copied
+  mutable std::unique_ptr<ReplayableModel> model_;  // created when needed; not copied
 };
 
-struct Outcome {
+struct ExplorationResult {
   uint64_t states = 0, steps = 0;
   int depth = 0;                  // every order of this many events was explored
-  bool whole = false;             // every reachable state was explored
-  std::string broken;             // the violated invariant; empty: none
+  bool complete = false;          // every reachable state was explored
+  std::string violation;          // the violated invariant; empty: none
   std::vector<std::string> path;  // the events that led to the violation
 };
 
 template <typename World>
-Outcome Explore(const World& start, uint64_t most_states) {
-  struct Step {
-    size_t before;
+ExplorationResult Explore(const World& start, uint64_t max_states) {
+  struct Transition {
+    size_t previous;
     std::string event;
   };
-  std::vector<Step> steps{{0, ""}};  // the step that led to each state; worlds are not kept
+  // The step that led to each state; worlds are not kept.
+  std::vector<Transition> transitions{{0, ""}};
   std::unordered_set<uint64_t> seen;
-  Outcome out;
-  const auto path_to = [&](size_t at) {
+  ExplorationResult out;
+  const auto path_to = [&](size_t index) {
     std::vector<std::string> path;
-    for (; at != 0; at = steps[at].before) path.insert(path.begin(), steps[at].event);
+    for (; index != 0; index = transitions[index].previous)
+      path.insert(path.begin(), transitions[index].event);
     return path;
   };
   std::vector<std::pair<World, size_t>> level, next;
@@ -83,59 +87,61 @@
   out.states = 1;
   while (!level.empty()) {
     next.clear();
-    for (const auto& [world, at] : level) {
+    for (const auto& [world, index] : level) {
       for (const std::string& event : world.Events()) {
         World after = world;
-        after.Happen(event);
+        after.Apply(event);
         ++out.steps;
         if (!seen.insert(std::hash<std::string>{}(after.Key())).second) continue;
         ++out.states;
-        steps.push_back({at, event});
-        const std::string broken = after.Broken();
-        if (!broken.empty()) {
-          out.broken = broken;
-          out.path = path_to(steps.size() - 1);
+        transitions.push_back({index, event});
+        const std::string violation = after.Violation();
+        if (!violation.empty()) {
+          out.violation = violation;
+          out.path = path_to(transitions.size() - 1);
           return out;
         }
-        if (out.states >= most_states) return out;
-        next.emplace_back(std::move(after), steps.size() - 1);
+        if (out.states >= max_states) return out;
+        next.emplace_back(std::move(after), transitions.size() - 1);
       }
     }
     std::swap(level, next);
     ++out.depth;
   }
-  out.whole = true;
+  out.complete = true;
   return out;
 }
 
 // Runs long random orders of events, where there are too many to explore them all. Every event
 // other than time, a delivery or a proposal counts as a fault and is drawn rarely. Each walk has
 // its own seed, so that a violation can be reproduced.
-inline Outcome Walk(const std::function<std::unique_ptr<Play>()>& begin, uint64_t walks, int steps,
-                    uint64_t seed) {
+inline ExplorationResult RunRandomWalks(
+    const std::function<std::unique_ptr<ReplayableModel>()>& make_model, uint64_t walks, int steps,
+    uint64_t seed) {
   constexpr double kTimeShare = 0.25, kFaultShare = 0.06;
-  Outcome out;
+  ExplorationResult out;
   for (uint64_t walk = 0; walk < walks; ++walk) {
     std::mt19937_64 random(seed + walk);
     const auto chance = [&] { return std::uniform_real_distribution<double>(0, 1)(random); };
-    const std::unique_ptr<Play> play = begin();
+    const std::unique_ptr<ReplayableModel> model = make_model();
     std::vector<std::string> path;
     for (int step = 0; step < steps; ++step) {
       std::vector<std::string> time, deliveries, faults;
-      for (const std::string& event : play->Events()) {
+      for (const std::string& event : model->Events()) {
         const bool delivery = event.starts_with("delivered") || event.starts_with("proposes");
         (event == "time" ? time : delivery ? deliveries : faults).push_back(event);
       }
-      const double drawn = chance();
-      const bool fault = !faults.empty() && drawn < kFaultShare;
-      const bool pass = !time.empty() && (deliveries.empty() || drawn < kFaultShare + kTimeShare);
-      const auto& from = fault ? faults : pass ? time : deliveries;
-      if (from.empty()) break;
-      path.push_back(from[random() % from.size()]);
-      play->Do(path.back());
+      const double draw = chance();
+      const bool inject_fault = !faults.empty() && draw < kFaultShare;
+      const bool time_passes =
+          !time.empty() && (deliveries.empty() || draw < kFaultShare + kTimeShare);
+      const auto& candidates = inject_fault ? faults : time_passes ? time : deliveries;
+      if (candidates.empty()) break;
+      path.push_back(candidates[random() % candidates.size()]);
+      model->Apply(path.back());
       ++out.steps;
-      out.broken = play->Broken();
-      if (out.broken.empty()) continue;
+      out.violation = model->Violation();
+      if (out.violation.empty()) continue;
       out.path = path;
       return out;
     }
--- a/src/check/replication_model.cpp
+++ b/src/check/replication_model.cpp
@@ -18,28 +18,28 @@
 constexpr Micros kStep = Millis(350);
 constexpr Micros kLease = Millis(1000);
 constexpr size_t kReplicas = 3;
-constexpr Micros kMessageLife = Seconds(2);
+constexpr Micros kMessageTimeout = Seconds(2);
 
 std::string Name(size_t i) { return std::string(1, static_cast<char>('a' + i)); }
 
-class World : public Play {
+class World : public ReplayableModel {
  public:
   struct Disk {
     Stored stored;
-    std::vector<uint64_t> chain;  // the numbers of its batches, which stand for the state
+    std::vector<uint64_t> batches;  // the numbers of its batches, which stand for the state
   };
   struct Host {
     Disk disk;
     std::unique_ptr<Replica> replica;
-    bool still = false;  // process pause
+    bool paused = false;  // process pause
 
-    std::string ChainText() const {
+    std::string FormatBatches() const {
       std::string out;
-      for (const uint64_t batch : disk.chain) out += std::to_string(batch) + ".";
+      for (const uint64_t batch : disk.batches) out += std::to_string(batch) + ".";
       return out;
     }
   };
-  struct Sent {
+  struct SentMessage {
     size_t to = 0;
     Message message;
     Micros at;
@@ -53,46 +53,46 @@
     }
     // The initial state: one replica leads and has committed a batch.
     for (int tick = 0; tick < plan.first_leader_ticks; ++tick) {
-      Pass();
+      AdvanceTime();
       DeliverAll();
     }
     for (size_t i = 0; i < kReplicas; ++i) {
       if (hosts_[i].replica->CanPropose()) Propose(i);
     }
     DeliverAll();
-    proposals_ = times_ = 0;
+    proposals_ = time_steps_ = 0;
   }
 
   std::vector<std::string> Events() const override {
     std::vector<std::string> out;
-    if (times_ < plan_.times) out.emplace_back("time");
+    if (time_steps_ < plan_.time_steps) out.emplace_back("time");
     for (size_t i = 0; i < kReplicas; ++i) {
       const Host& host = hosts_[i];
-      if (ends_ < plan_.ends) out.push_back("ends " + Name(i));
-      if (wipes_ < plan_.wipes) out.push_back("wiped " + Name(i));
+      if (restarts_ < plan_.restarts) out.push_back("ends " + Name(i));
+      if (disk_losses_ < plan_.disk_losses) out.push_back("wiped " + Name(i));
       if (proposals_ < plan_.proposals && host.replica->CanPropose()) {
         out.push_back("proposes " + Name(i));
       }
-      if (host.still || times_ < plan_.times) out.push_back("still " + Name(i));
+      if (host.paused || time_steps_ < plan_.time_steps) out.push_back("still " + Name(i));
     }
     for (size_t m = 0; m < network_.size(); ++m) {
-      if (hosts_[network_[m].to].still) continue;
+      if (hosts_[network_[m].to].paused) continue;
       out.push_back("delivered " + std::to_string(m));
       if (losses_ < plan_.losses) out.push_back("lost " + std::to_string(m));
     }
     return out;
   }
 
-  void Do(const std::string& event) override {
+  void Apply(const std::string& event) override {
     const size_t space = event.find(' ');
     const std::string what = event.substr(0, space);
     if (what == "time") {
-      ++times_;
-      return Pass();
+      ++time_steps_;
+      return AdvanceTime();
     }
     if (what == "delivered" || what == "lost") {
       const size_t m = std::stoul(event.substr(space + 1));
-      const Sent sent = network_[m];
+      const SentMessage sent = network_[m];
       network_.erase(network_.begin() + static_cast<std::ptrdiff_t>(m));
       losses_ += what == "lost";
       if (what == "delivered") Deliver(sent);
@@ -100,14 +100,14 @@
     }
     const auto i = static_cast<size_t>(event[space + 1] - 'a');
     if (what == "ends") {
-      ++ends_;
-      End(i);
+      ++restarts_;
+      Restart(i);
     } else if (what == "wiped") {
-      ++wipes_;
+      ++disk_losses_;
       hosts_[i].disk = Disk{};
       Start(i);
     } else if (what == "still") {
-      hosts_[i].still = !hosts_[i].still;
+      hosts_[i].paused = !hosts_[i].paused;
     } else {
       ++proposals_;
       Propose(i);
@@ -116,31 +116,31 @@
 
   std::string Key() const override {
     std::ostringstream out;
-    out << now_.count << ' ' << times_ << ' ' << ends_ << ' ' << wipes_ << ' ' << losses_ << ' '
-        << proposals_ << ' ' << committed_.size();
+    out << now_.count << ' ' << time_steps_ << ' ' << restarts_ << ' ' << disk_losses_ << ' '
+        << losses_ << ' ' << proposals_ << ' ' << committed_.size();
     for (size_t i = 0; i < kReplicas; ++i) {
       const Host& host = hosts_[i];
       const Replica& r = *host.replica;
-      out << '|' << static_cast<int>(r.role()) << r.ready() << host.still << ' ' << r.term() << ' '
+      out << '|' << static_cast<int>(r.role()) << r.ready() << host.paused << ' ' << r.term() << ' '
           << r.leader() << ' ' << r.stored().position.term << ',' << r.stored().position.index
           << ' ' << r.stored().vote.term << r.stored().vote.candidate << r.stored().member << ' '
-          << r.MayServe(Clock(i)) << ' ' << r.Describe(Clock(i)) << ' ' << host.ChainText();
+          << r.MayServe(Clock(i)) << ' ' << r.Describe(Clock(i)) << ' ' << host.FormatBatches();
     }
     std::vector<std::string> messages;
-    for (const Sent& sent : network_) messages.push_back(Text(sent));
+    for (const SentMessage& sent : network_) messages.push_back(FormatMessage(sent));
     std::sort(messages.begin(), messages.end());
     for (const std::string& m : messages) out << ';' << m;
     return out.str();
   }
 
-  std::string Broken() const override {
+  std::string Violation() const override {
     int serving = 0;
     for (size_t i = 0; i < kReplicas; ++i) {
       if (!hosts_[i].replica->MayServe(Clock(i))) continue;
       ++serving;
-      const auto& chain = hosts_[i].disk.chain;
+      const auto& batches = hosts_[i].disk.batches;
       for (size_t k = 0; k < committed_.size(); ++k) {
-        if (k >= chain.size() || chain[k] != committed_[k]) {
+        if (k >= batches.size() || batches[k] != committed_[k]) {
           return Name(i) + " may serve without a committed batch";
         }
       }
@@ -150,14 +150,14 @@
       for (size_t k = i + 1; k < kReplicas; ++k) {
         const Disk &a = hosts_[i].disk, &b = hosts_[k].disk;
         const bool same = a.stored.position == b.stored.position && a.stored.position.index > 0;
-        if (same && a.chain != b.chain) return "two states at the same position differ";
+        if (same && a.batches != b.batches) return "two states at the same position differ";
       }
     }
     return "";
   }
 
  private:
-  static std::string Text(const Sent& sent) {
+  static std::string FormatMessage(const SentMessage& sent) {
     std::ostringstream out;
     const Message& m = sent.message;
     out << m.from << Name(sent.to) << m.body.index() << m.history;
@@ -178,7 +178,7 @@
   }
 
   Micros Clock(size_t i) const {
-    const bool slow = plan_.planted == PlantedInReplication::kSlowClock && i == 0;
+    const bool slow = plan_.fault == ReplicationFault::kSlowClock && i == 0;
     return slow ? now_.Scaled(0.2) : now_;
   }
 
@@ -189,9 +189,9 @@
     settings.lease = kLease;
     settings.heartbeat = kStep;
     settings.rejoin_after = Seconds(2);
-    hosts_[i].still = false;
+    hosts_[i].paused = false;
     Stored stored = hosts_[i].disk.stored;
-    if (plan_.planted == PlantedInReplication::kEmptyDiskCounts && stored.history.empty()) {
+    if (plan_.fault == ReplicationFault::kEmptyDiskIsMember && stored.history.empty()) {
       stored.history = "h";
       stored.member = true;
     }
@@ -199,48 +199,49 @@
     hosts_[i].replica = std::make_unique<Replica>(settings, stored, i + 1, Clock(i));
   }
 
-  void End(size_t i) {
+  void Restart(size_t i) {
     Disk& disk = hosts_[i].disk;
-    if (plan_.planted == PlantedInReplication::kForgetsState && !disk.chain.empty()) {
-      disk.chain.pop_back();
+    if (plan_.fault == ReplicationFault::kLosesDurableState && !disk.batches.empty()) {
+      disk.batches.pop_back();
       disk.stored.position = {};
     }
     Start(i);
   }
 
-  void Pass() {
+  void AdvanceTime() {
     now_ += kStep;
     for (size_t i = 0; i < kReplicas; ++i) {
-      if (hosts_[i].still) continue;
+      if (hosts_[i].paused) continue;
       hosts_[i].replica->Tick(Clock(i));
-      Carry(i);
+      PerformEffects(i);
     }
     // Older messages are lost: the sender's connection has timed out.
-    std::erase_if(network_, [&](const Sent& sent) { return sent.at + kMessageLife < now_; });
+    std::erase_if(network_,
+                  [&](const SentMessage& sent) { return sent.at + kMessageTimeout < now_; });
   }
 
   void Propose(size_t i) {
     store::Batch batch;
     batch.last_lease_id = ++next_batch_;  // identifies the batch
     hosts_[i].replica->Propose(Clock(i), std::move(batch));
-    Carry(i);
+    PerformEffects(i);
   }
 
-  void Deliver(const Sent& sent) {
+  void Deliver(const SentMessage& sent) {
     hosts_[sent.to].replica->OnMessage(Clock(sent.to), sent.message);
-    Carry(sent.to);
+    PerformEffects(sent.to);
   }
 
   void DeliverAll() {
     for (int round = 0; round < 200 && !network_.empty(); ++round) {
-      const Sent sent = network_.front();
+      const SentMessage sent = network_.front();
       network_.erase(network_.begin());
       Deliver(sent);
     }
   }
 
   // Performs the replica's effects; its disk is instantaneous and fails only with the host.
-  void Carry(size_t i) {
+  void PerformEffects(size_t i) {
     Host& host = hosts_[i];
     for (;;) {
       Effects out = host.replica->Take();
@@ -248,14 +249,14 @@
         network_.push_back({static_cast<size_t>(to[0] - 'a'), std::move(message), now_});
       }
       for (const Position& position : out.committed) {
-        if (position == host.disk.stored.position) committed_ = host.disk.chain;
-        const auto* last = host.disk.chain.empty() ? nullptr : &host.disk.chain.back();
+        if (position == host.disk.stored.position) committed_ = host.disk.batches;
+        const auto* last = host.disk.batches.empty() ? nullptr : &host.disk.batches.back();
         if (plan_.coverage)
           ++(last && *last == 0 ? plan_.coverage->leaders : plan_.coverage->commits);
       }
       if (out.load_image) {
         std::string bytes;
-        for (const uint64_t batch : host.disk.chain) bytes += static_cast<char>(batch);
+        for (const uint64_t batch : host.disk.batches) bytes += static_cast<char>(batch);
         bytes += '\0';  // a snapshot is never empty
         host.replica->OnImage(Clock(i), host.disk.stored.position, std::move(bytes));
         continue;
@@ -263,43 +264,43 @@
       if (!out.write) return;
       const bool image = std::holds_alternative<replication::StoreImage>(*out.write);
       if (plan_.coverage) plan_.coverage->images += image;
-      Store(&host.disk, *out.write);
+      ApplyWrite(&host.disk, *out.write);
       host.replica->OnStored(Clock(i), true);
     }
   }
 
-  static void Store(Disk* disk, const replication::Write& write) {
+  static void ApplyWrite(Disk* disk, const replication::Write& write) {
     if (const auto* vote = std::get_if<replication::StoreVote>(&write)) {
       disk->stored.vote = vote->vote;
       disk->stored.member = vote->member;
     } else if (const auto* entry = std::get_if<replication::StoreEntry>(&write)) {
       disk->stored.position = entry->entry.position;
       disk->stored.history = entry->history;
-      disk->chain.push_back(entry->entry.batch ? entry->entry.batch->last_lease_id : 0);
+      disk->batches.push_back(entry->entry.batch ? entry->entry.batch->last_lease_id : 0);
     } else if (const auto* image = std::get_if<replication::StoreImage>(&write)) {
       disk->stored.position = image->position;
       disk->stored.history = image->history;
-      disk->chain.assign(image->bytes.begin(), image->bytes.end() - 1);
+      disk->batches.assign(image->bytes.begin(), image->bytes.end() - 1);
     }
   }
 
   ReplicationPlan plan_;
   Host hosts_[kReplicas];
-  std::vector<Sent> network_;
+  std::vector<SentMessage> network_;
   std::vector<uint64_t> committed_;  // the longest chain that was reported as committed
   Micros now_ = Seconds(10);
   uint64_t next_batch_ = 0;
-  int times_ = 0, ends_ = 0, wipes_ = 0, losses_ = 0, proposals_ = 0;
+  int time_steps_ = 0, restarts_ = 0, disk_losses_ = 0, losses_ = 0, proposals_ = 0;
 };
 
 }  // namespace
 
-std::unique_ptr<Play> ReplicationPlay(const ReplicationPlan& plan) {
+std::unique_ptr<ReplayableModel> MakeReplicationModel(const ReplicationPlan& plan) {
   return std::make_unique<World>(plan);
 }
 
-Replayed ReplicationModel(const ReplicationPlan& plan) {
-  return Replayed([plan] { return ReplicationPlay(plan); });
+ReplayedWorld ReplicationModel(const ReplicationPlan& plan) {
+  return ReplayedWorld([plan] { return MakeReplicationModel(plan); });
 }
 
 }  // namespace badgershore::check
--- a/src/check/replication_model.h
+++ b/src/check/replication_model.h
@@ -8,11 +8,11 @@
 namespace badgershore::check {
 
 // A fault injected around a replica. The exploration must find each.
-enum class PlantedInReplication {
+enum class ReplicationFault {
   kNone,
-  kForgetsState,     // a durable batch is not on the disk after a restart
-  kSlowClock,        // the clock of replica a runs at a fifth of the speed
-  kEmptyDiskCounts,  // a replica that lost its disk still counts as a member, with an empty log
+  kLosesDurableState,  // a durable batch is not on the disk after a restart
+  kSlowClock,          // the clock of replica a runs at a fifth of the speed
+  kEmptyDiskIsMember,  // a replica that lost its disk still counts as a member, with an empty log
 };
 
 // Counts what the walks have exercised, to check that they exercise enough.
@@ -21,16 +21,16 @@
 };
 
 struct ReplicationPlan {
-  int proposals = 2, ends = 1, wipes = 0, times = 6, losses = 1;
+  int proposals = 2, restarts = 1, disk_losses = 0, time_steps = 6, losses = 1;
   int first_leader_ticks = 8;  // time steps before the exploration, with all messages delivered
-  PlantedInReplication planted = PlantedInReplication::kNone;
+  ReplicationFault fault = ReplicationFault::kNone;
   ReplicationCoverage* coverage = nullptr;
 };
 
 // Invariants: no two replicas may serve clients at the same time; a replica that may serve has
 // every committed batch; states at the same log position are equal.
-Replayed ReplicationModel(const ReplicationPlan& plan);
-// The same model, for Walk.
-std::unique_ptr<Play> ReplicationPlay(const ReplicationPlan& plan);
+ReplayedWorld ReplicationModel(const ReplicationPlan& plan);
+// The same model, for RunRandomWalks.
+std::unique_ptr<ReplayableModel> MakeReplicationModel(const ReplicationPlan& plan);
 
 }  // namespace badgershore::check
--- a/src/check/small_state.h
+++ b/src/check/small_state.h
@@ -1,5 +1,5 @@
 // A minimal state service for the models: a few keys, leases, compare-and-swap, and a log of all
-// changes. A request is executed when the model calls Carry; the caller passes the time.
+// changes. A request is executed when the model calls Execute; the caller passes the time.
 #pragma once
 
 #include <map>
@@ -10,82 +10,82 @@
 
 namespace badgershore::check {
 
-struct SmallState {
+struct FakeStateService {
   struct Item {
     Record value;
-    uint64_t stamp = 0, lease = 0;
+    uint64_t version = 0, lease = 0;
   };
-  Micros lease;  // duration after a renewal
+  Micros renew_duration;  // duration after a renewal
   // Injected faults.
-  Micros ends_early;
-  bool no_guards = false, lease_of_name = false;
+  Micros expire_early;
+  bool ignore_preconditions = false, reuse_lease_ids = false;
 
   std::map<std::string, Item> items;
   std::map<uint64_t, Micros> leases;
   std::vector<Entry> log;
-  uint64_t epoch = 1, last_lease = 0;
+  uint64_t revision = 1, last_lease = 0;
 
-  void Put(const std::string& key, Record value, uint64_t of_lease = 0) {
-    items[key] = {value, epoch, of_lease};
-    log.push_back({key, std::move(value), epoch, false});
+  void Put(const std::string& key, Record value, uint64_t lease_id = 0) {
+    items[key] = {value, revision, lease_id};
+    log.push_back({key, std::move(value), revision, false});
   }
   void Erase(const std::string& key) {
-    if (items.erase(key) > 0) log.push_back({key, {}, epoch, true});
+    if (items.erase(key) > 0) log.push_back({key, {}, revision, true});
   }
-  void EndLeases(Micros now) {
+  void ExpireLeases(Micros now) {
     for (auto it = leases.begin(); it != leases.end();) {
-      const auto at = it++;
-      if (now >= at->second - ends_early) Drop(at->first);
+      const auto expiry = it++;
+      if (now >= expiry->second - expire_early) EndLease(expiry->first);
     }
   }
-  void Drop(uint64_t ended) {
-    leases.erase(ended);
-    std::vector<std::string> gone;
+  void EndLease(uint64_t lease_id) {
+    leases.erase(lease_id);
+    std::vector<std::string> expired_keys;
     for (const auto& [key, item] : items)
-      if (item.lease == ended) gone.push_back(key);
-    for (const std::string& key : gone) {
-      ++epoch;
+      if (item.lease == lease_id) expired_keys.push_back(key);
+    for (const std::string& key : expired_keys) {
+      ++revision;
       Erase(key);
     }
   }
-  StateResponse Since(const StateRequest& watch) const {
+  StateResponse ChangesSince(const StateRequest& watch) const {
     StateResponse r;
     r.outcome = StateResponse::Outcome::kOk;
-    r.revision = epoch;
+    r.revision = revision;
     for (const Entry& e : log) {
       if (e.version > watch.revision && e.key.starts_with(watch.key)) r.entries.push_back(e);
     }
     return r;
   }
-  StateResponse Carry(Micros now, size_t requester, const StateRequest& op) {
-    using K = StateRequest::Kind;
+  StateResponse Execute(Micros now, size_t requester, const StateRequest& op) {
+    using Kind = StateRequest::Kind;
     StateResponse r;
     r.outcome = StateResponse::Outcome::kOk;
-    r.revision = epoch;
+    r.revision = revision;
     switch (op.kind) {
-      case K::kList:
+      case Kind::kList:
         for (const auto& [key, item] : items) {
-          if (key.starts_with(op.key)) r.entries.push_back({key, item.value, item.stamp});
+          if (key.starts_with(op.key)) r.entries.push_back({key, item.value, item.version});
         }
         break;
-      case K::kGrantLease:
-        r.lease = lease_of_name ? requester + 1 : ++last_lease;
+      case Kind::kGrantLease:
+        r.lease = reuse_lease_ids ? requester + 1 : ++last_lease;
         leases[r.lease] = now + op.duration;
         break;
-      case K::kRenewLease:
+      case Kind::kRenewLease:
         if (!leases.contains(op.lease)) {
           r.outcome = StateResponse::Outcome::kNotFound;
         } else {
-          leases[op.lease] = now + lease;
+          leases[op.lease] = now + renew_duration;
         }
         break;
-      case K::kRevokeLease:
-        Drop(op.lease);
+      case Kind::kRevokeLease:
+        EndLease(op.lease);
         break;
-      case K::kCompareAndSwap: {
+      case Kind::kCompareAndSwap: {
         for (const Precondition& g : op.preconditions) {
           auto it = items.find(g.key);
-          if ((it == items.end() ? 0 : it->second.stamp) != g.version && !no_guards) {
+          if ((it == items.end() ? 0 : it->second.version) != g.version && !ignore_preconditions) {
             r.failed_keys.push_back(g.key);
           }
         }
@@ -99,7 +99,7 @@
           r.outcome = StateResponse::Outcome::kConflict;
           return r;
         }
-        r.revision = ++epoch;
+        r.revision = ++revision;
         for (const Mutation& c : op.mutations) {
           if (c.is_delete) {
             Erase(c.key);
--- a/src/programs/rehearse.cpp
+++ b/src/programs/rehearse.cpp
@@ -78,7 +78,7 @@
   w.Put("final_states_sha256", FinalSha(scenario, r));
   w.Put("history_sha256", store::Sha256(r.history));
   w.Key("broken").BeginList();
-  for (const auto& b : r.broken) {
+  for (const auto& b : r.violations) {
     w.Begin().Put("rule", b.rule).Put("at_s", b.at_s).Put("detail", b.detail).End();
   }
   w.EndList().Key("waits").Begin();
@@ -90,13 +90,13 @@
   for (const auto& [key, s] : r.service) {
     w.Begin().Put("team", key.first).Put("class", key.second).Put("accepted", s.accepted);
     w.Put("started", s.started).Put("done", s.done).Put("share", s.share());
-    w.Put("largest", s.large).Put("largest_done", s.large_done);
-    w.Put("largest_begun_within_s", s.latest_large_start_s).End();
+    w.Put("largest", s.largest).Put("largest_done", s.largest_done);
+    w.Put("largest_begun_within_s", s.latest_largest_start_s).End();
   }
   w.EndList()
       .Put("latest_cancelled_s", r.latest_cancelled_s)
       .Put("started_cancelled", r.started_cancelled)
-      .Put("crossed", r.crossed)
+      .Put("crossed", r.reordered_responses)
       .Put("price", r.price)
       .Put("wall_s", wall_s)
       .Put("simulated_s", r.simulated_s);
@@ -116,18 +116,18 @@
       "  %.0f s played in %.1f s; price %.2f; cancelled work gone within %.1f s, %d started after "
       "it\n",
       r.simulated_s, wall_s, r.price, r.latest_cancelled_s, r.started_cancelled);
-  for (const std::string& belief : r.beliefs) std::printf("  open: %s\n", belief.c_str());
+  for (const std::string& view : r.leader_views) std::printf("  open: %s\n", view.c_str());
   size_t shown = 0;
-  for (const auto& b : r.broken) {
+  for (const auto& b : r.violations) {
     if (++shown > 10) break;
     std::printf("  broken: %s at %.3f s: %s\n", b.rule.c_str(), b.at_s, b.detail.c_str());
   }
-  if (r.broken.size() > 10) std::printf("  and %zu more\n", r.broken.size() - 10);
+  if (r.violations.size() > 10) std::printf("  and %zu more\n", r.violations.size() - 10);
 }
 
 Result Play(const Scenario& scenario, uint64_t seed, double* wall_s) {
   const auto start = std::chrono::steady_clock::now();
-  Result r = rehearsal::Play(scenario, seed);
+  Result r = rehearsal::Simulate(scenario, seed);
   *wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   return r;
 }
@@ -172,7 +172,7 @@
     });
     loop.Run();
     *wall_s = (io::Loop::Now() - start).ToSeconds();
-    result = site.world().End();
+    result = site.world().FinishRun();
     if (interrupted) std::fprintf(stderr, "interrupted\n");
   }
   std::filesystem::remove_all(dir);
@@ -192,13 +192,13 @@
       site->address().c_str(), site->address().c_str(), site->address().c_str());
   std::fflush(stdout);
   rehearsal::Site::Counts shown;
-  shown.live = -1;
+  shown.open = -1;
   if (!tty) co_return;
   for (;;) {
     const rehearsal::Site::Counts now = co_await site->Count();
     if (!(now == shown)) {
       shown = now;
-      std::printf("jobs: %d live, %d over; machines: %d up, %d starting\n", now.live, now.over,
+      std::printf("jobs: %d live, %d over; machines: %d up, %d starting\n", now.open, now.finished,
                   now.up, now.starting);
       std::fflush(stdout);
     }
@@ -254,7 +254,7 @@
   for (size_t i = 0; i < scenario.troubles.size();) {
     Scenario less = scenario;
     less.troubles.erase(less.troubles.begin() + static_cast<std::ptrdiff_t>(i));
-    if (rehearsal::Play(less, seed).clean()) {
+    if (rehearsal::Simulate(less, seed).clean()) {
       ++i;
     } else {
       scenario = std::move(less);
@@ -325,14 +325,14 @@
 template <typename World>
 int Model(const World& start_world, uint64_t states) {
   const auto start = std::chrono::steady_clock::now();
-  const check::Outcome o = check::Explore(start_world, states);
+  const check::ExplorationResult o = check::Explore(start_world, states);
   std::printf("%llu states, %llu steps, every order of %d events%s, %.1f s: %s\n",
               static_cast<unsigned long long>(o.states), static_cast<unsigned long long>(o.steps),
-              o.depth, o.whole ? " (there are no more states)" : "",
+              o.depth, o.complete ? " (there are no more states)" : "",
               std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(),
-              o.broken.empty() ? "nothing broken" : o.broken.c_str());
+              o.violation.empty() ? "nothing broken" : o.violation.c_str());
   for (const std::string& event : o.path) std::printf("  %s\n", event.c_str());
-  return o.broken.empty() ? 0 : 1;
+  return o.violation.empty() ? 0 : 1;
 }
 
 }  // namespace
@@ -378,7 +378,7 @@
   std::string of = "limits";
   CLI::App* model = verb("model", "Explore every order of events of a pure machine");
   check::CancelPlan cancel;
-  int planted = 0;
+  int fault = 0;
   model
       ->add_option(
           "of", of,
@@ -387,22 +387,23 @@
       ->check(CLI::IsMember({"limits", "leadership", "cancellations"}))
       ->capture_default_str();
   model->add_option("--seconds", cancel.seconds, "Cancellations: that pass");
-  model->add_option("--troubles", cancel.troubles, "Cancellations: at most");
-  model->add_option("--first", cancel.first, "Cancellations: events before the exploration");
-  model->add_option("--planted", planted, "Cancellations: a fault to be found")
+  model->add_option("--troubles", cancel.faults, "Cancellations: at most");
+  model->add_option("--first", cancel.initial_events,
+                    "Cancellations: events before the exploration");
+  model->add_option("--planted", fault, "Cancellations: a fault to be found")
       ->check(CLI::Range(0, 4));
   model->add_option("--nodes", lead.nodes, "Leadership: controllers")->check(CLI::Range(2, 5));
-  model->add_option("--times", lead.times, "Leadership: thirds of a lease that pass");
-  model->add_option("--lates", lead.lates, "Leadership: late requests or answers");
+  model->add_option("--times", lead.time_steps, "Leadership: thirds of a lease that pass");
+  model->add_option("--lates", lead.delays, "Leadership: late requests or answers");
   model->add_option("--losses", lead.losses, "Leadership: answers that are lost");
-  model->add_option("--ends", lead.ends, "Leadership: controllers that end");
-  model->add_option("--retires", lead.retires, "Leadership: leaders that hand over");
+  model->add_option("--ends", lead.restarts, "Leadership: controllers that end");
+  model->add_option("--retires", lead.handovers, "Leadership: leaders that hand over");
   model->add_option("--cells", plan.cells, "")->check(CLI::Range(2, 5))->capture_default_str();
   model->add_option("--teams", plan.teams, "")->check(CLI::Range(1, 3))->capture_default_str();
-  model->add_option("--whole", plan.whole, "A team's limit, in tasks")->capture_default_str();
+  model->add_option("--whole", plan.limit, "A team's limit, in tasks")->capture_default_str();
   model->add_option("--crashes", plan.crashes, "")->capture_default_str();
   model->add_option("--restores", plan.restores, "Old copies of a record")->capture_default_str();
-  model->add_option("--repeats", plan.repeats, "Notes that come late")->capture_default_str();
+  model->add_option("--repeats", plan.duplicates, "Notes that come late")->capture_default_str();
   model->add_option("--transfers", plan.transfers, "Decided on in all")->capture_default_str();
   model->add_option("--states", states, "At most")->capture_default_str();
   CLI::App* list = verb("list", "List the kept scenarios");
@@ -414,7 +415,7 @@
   try {
     if (*model && of == "leadership") return Model(check::ElectionModel(lead), states);
     if (*model && of == "cancellations") {
-      cancel.planted = static_cast<check::PlantedInAuthority>(planted);
+      cancel.fault = static_cast<check::AuthorityFault>(fault);
       return Model(check::CancelModel(cancel), states);
     }
     if (*model) return Model(check::LimitsModel(plan), states);
--- a/src/rehearsal/clock.h
+++ b/src/rehearsal/clock.h
@@ -17,12 +17,12 @@
  public:
   explicit Clock(uint64_t seed) : random(seed) {}
 
-  void Later(Micros at, std::function<void()> then) {
+  void Schedule(Micros at, std::function<void()> then) {
     queue_.push({std::max(at, now), ++order, std::move(then)});
   }
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random); }
-  Micros Between(double least_s, double most_s) {
-    return Seconds(least_s + (most_s - least_s) * Chance());
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random); }
+  Micros RandomDuration(double least_s, double most_s) {
+    return Seconds(least_s + (most_s - least_s) * RandomFraction());
   }
   bool empty() const { return queue_.empty(); }
   Micros NextAt() const { return queue_.empty() ? kNever : queue_.top().at; }
--- a/src/rehearsal/cloud.h
+++ b/src/rehearsal/cloud.h
@@ -22,7 +22,7 @@
   struct Machine {
     std::string id, type, zone, endpoint;
     bool spot = false;
-    Micros asked, up = kNever, failed = kNever, gone = kNever;
+    Micros requested_at, up_at = kNever, failed_at = kNever, gone_at = kNever;
   };
   struct Hooks {
     std::function<void(Micros at, std::function<void()>)> later;
@@ -36,12 +36,12 @@
   void Begin(Micros now);
   std::pair<int, std::string> Handle(Micros now, const wire::Call& call);
   // Ends a machine: returned by a controller, or reclaimed by the cloud.
-  void Take(Micros now, const std::string& id);
-  double Spent(Micros now) const;
+  void Terminate(Micros now, const std::string& id);
+  double TotalCost(Micros now) const;
 
   // Injected faults.
-  bool down = false, empty = false;
-  double vanish_share = 0, never_share = 0;
+  bool api_down = false, no_capacity = false;
+  double vanish_share = 0, never_boots_share = 0;
   const std::map<std::string, Machine>& machines() const { return machines_; }
 
  private:
@@ -49,15 +49,15 @@
   std::string Add(Micros now, const MachineOffer& type, const std::string& zone, bool spot);
   std::pair<int, std::string> Rent(Micros now, const std::string& body);
   std::string List(Micros now, const std::string& after);
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   const Scenario& scenario_;
   std::mt19937_64 random_;
   Hooks hooks_;
   store::RateLimiter rate_;
   std::map<std::string, Machine> machines_;  // including those that are gone
-  std::map<std::string, std::string> hires_;
-  int next_ = 0;
+  std::map<std::string, std::string> rent_responses_;
+  int last_id_ = 0;
 };
 
 }  // namespace badgershore::rehearsal
--- a/src/rehearsal/history.h
+++ b/src/rehearsal/history.h
@@ -11,7 +11,7 @@
 namespace badgershore::rehearsal {
 
 struct JobFacts {
-  std::string id, team, lane;
+  std::string id, team, job_class;
   int tasks = 0;
   int64_t cpu_m = 0, gpu_m = 0;  // per task, in thousandths
   std::string zone;              // empty: any
@@ -22,32 +22,32 @@
 
 struct Event {
   enum class Kind {
-    kSubmitted,   // facts; sent for the first time
-    kAccepted,    // 201 or 200 to a submission
-    kRejected,    // 400 or 422 to a submission
-    kWithdraws,   // its user requests cancellation
-    kTold,        // 200 to a query or cancellation; text: the phase
-    kUnknownJob,  // 404 to a query
-    kNoAnswer,    // a query got no response or another status
-    kMachineUp,   // machine, text: zone, number: 1 for spot
+    kSubmitted,        // facts; sent for the first time
+    kAccepted,         // 201 or 200 to a submission
+    kRejected,         // 400 or 422 to a submission
+    kCancelRequested,  // its user requests cancellation
+    kStatusReported,   // 200 to a query or cancellation; text: the phase
+    kUnknownJob,       // 404 to a query
+    kNoAnswer,         // a query got no response or another status
+    kMachineUp,        // machine, text: zone, number: 1 for spot
     kMachineGone,
-    kTaskOn,    // launched, with its image on the machine
-    kTaskOff,   // exited, killed
-    kTaskDone,  // completed
-    kLimit,     // the limit of team `text` for starts from now on; number: thousandths of a CPU
-    kNote,      // text
+    kTaskStarted,    // launched, with its image on the machine
+    kTaskExited,     // exited, killed
+    kTaskCompleted,  // completed
+    kLimit,  // the limit of team `text` for starts from now on; number: thousandths of a CPU
+    kNote,   // text
   };
   int64_t at_us = 0;
   Kind kind = Kind::kNote;
   std::string job, machine, text;
   int task = 0;
-  uint64_t number = 0;    // attempt, status
-  int64_t asked_us = -1;  // kTold: when the user sent the request; -1: unknown
+  uint64_t number = 0;        // attempt, status
+  int64_t requested_us = -1;  // kStatusReported: when the user sent the request; -1: unknown
   JobFacts facts;
 };
-std::string Line(const Event& e);
+std::string FormatEvent(const Event& e);
 
-struct Broken {
+struct Violation {
   std::string rule;
   double at_s = 0;
   std::string detail;
@@ -59,12 +59,12 @@
   struct Bounds {
     double cancel_s = 40;
     std::map<std::string, std::pair<int64_t, int64_t>> limits;  // team -> cpu, gpu; 0: none
-    double troubles_over_s = 0;  // from then on every user must get a response within 75 s
+    double faults_end_s = 0;  // from then on every user must get a response within 75 s
   };
   explicit Checker(Bounds bounds) : bounds_(std::move(bounds)) {}
-  void See(const Event& e);
-  void End(int64_t at_us);
-  const std::vector<Broken>& broken() const { return broken_; }
+  void OnEvent(const Event& e);
+  void Finish(int64_t at_us);
+  const std::vector<Violation>& violations() const { return violations_; }
   // The longest that a task of a cancelled job was on a machine after the cancellation was
   // confirmed.
   double latest_cancelled_s() const { return static_cast<double>(latest_cancelled_us_) / 1e6; }
@@ -73,43 +73,43 @@
   // Responses that contradict a later state which the user had already been told, to requests that
   // were sent before that: concurrent requests may be answered out of order, and no rule forbids
   // it.
-  int crossed() const { return crossed_; }
+  int reordered_responses() const { return reordered_responses_; }
   // Each team's peak CPU use, in thousandths, since the last call.
   std::map<std::string, int64_t> TakePeakCpu();
   // Accepted jobs and their final phase: done, withdrawn or open.
   std::map<std::string, std::string> FinalStates() const;
 
  private:
-  struct Place {
+  struct Placement {
     std::string machine, zone;
   };
   struct Job {
     JobFacts facts;
-    bool submitted = false, accepted = false, asked_withdrawal = false;
+    bool submitted = false, accepted = false, cancel_requested = false;
     std::string final_phase;
-    int64_t final_at = -1, withdrawn_at = -1, silent_since = -1;
+    int64_t final_at = -1, cancelled_at = -1, unanswered_since = -1;
     std::set<int> done;
-    std::map<int, std::map<std::string, uint64_t>> on;  // task -> machine -> attempt
+    std::map<int, std::map<std::string, uint64_t>> placements;  // task -> machine -> attempt
   };
   struct Machine {
     std::string zone;
     bool spot = false, gone = false;
   };
-  void Say(const Event& e, const char* rule, const std::string& detail);
-  void Started(const Event& e, Job* job);
+  void ReportViolation(const Event& e, const char* rule, const std::string& detail);
+  void OnTaskStarted(const Event& e, Job* job);
   void CheckCancelled(int64_t at_us);
-  std::vector<Place> PlacesOf(const Job& job) const;
+  std::vector<Placement> PlacementsOf(const Job& job) const;
 
   Bounds bounds_;
   std::map<std::string, Job> jobs_;
   std::map<std::string, Machine> machines_;
   std::map<std::string, std::pair<int64_t, int64_t>> used_;
   std::map<std::string, int64_t> peak_cpu_;  // by team, since the last TakePeakCpu()
-  std::set<std::string> withdrawn_;
-  int64_t others_answered_at_ = 0, latest_cancelled_us_ = 0;
-  int started_cancelled_ = 0, crossed_ = 0;
+  std::set<std::string> cancelled_jobs_;
+  int64_t last_response_us_ = 0, latest_cancelled_us_ = 0;
+  int started_cancelled_ = 0, reordered_responses_ = 0;
   bool any_started_ = false;
-  std::vector<Broken> broken_;
+  std::vector<Violation> violations_;
 };
 
 }  // namespace badgershore::rehearsal
--- a/src/rehearsal/machines.cpp
+++ b/src/rehearsal/machines.cpp
@@ -5,7 +5,7 @@
 
 namespace badgershore::rehearsal {
 
-void World::MachineUp(const Cloud::Machine& m) {
+void World::OnMachineUp(const Cloud::Machine& m) {
   Worker& w = workers_[m.id];
   w.record = {m.id, m.endpoint, m.type, m.zone, m.spot};
   agent::Settings s;
@@ -13,7 +13,7 @@
   for (const MachineOffer& t : scenario_.types) {
     if (t.type.name != m.type) continue;
     s.size = t.type.size;
-    w.fetch_gb_per_s = t.type.fetch_gb_per_s * (0.7 + 0.6 * Chance());
+    w.fetch_gb_per_s = t.type.fetch_gb_per_s * (0.7 + 0.6 * RandomFraction());
   }
   for (size_t i = 0; i < nodes_.size(); ++i) s.controllers.push_back(NodeName(i));
   s.report_every = scenario_.site.heartbeat_interval;
@@ -25,36 +25,36 @@
   e.machine = m.id;
   e.text = m.zone;
   e.number = m.spot;
-  See(e);
+  RecordEvent(e);
   w.agent->Tick(now_);
-  PumpMachine(m.id);
+  ProcessAgentActions(m.id);
 }
 
-void World::MachineGone(const std::string& id) {
+void World::OnMachineGone(const std::string& id) {
   auto it = workers_.find(id);
   if (it == workers_.end()) return;
-  const std::set<TaskKey> on = it->second.on;
-  for (const TaskKey& task : on) {
-    TaskOff(id, task);
-    work_.Kill(task);
+  const std::set<TaskKey> running_tasks = it->second.running_tasks;
+  for (const TaskKey& task : running_tasks) {
+    RecordTaskExit(id, task);
+    task_emulator_.Kill(task);
   }
   workers_.erase(id);
-  if (outside_) outside_->CloseMachine(id);
+  if (backend_) backend_->CloseMachine(id);
   Event e;
   e.kind = Event::Kind::kMachineGone;
   e.machine = id;
-  See(e);
+  RecordEvent(e);
 }
 
-void World::TaskOff(const std::string& machine, const TaskKey& task) {
-  if (workers_.at(machine).on.erase(task) == 0) return;
+void World::RecordTaskExit(const std::string& machine, const TaskKey& task) {
+  if (workers_.at(machine).running_tasks.erase(task) == 0) return;
   Event e;
-  e.kind = Event::Kind::kTaskOff;
+  e.kind = Event::Kind::kTaskExited;
   e.job = task.ref.job;
   e.task = task.ref.task;
   e.machine = machine;
   e.number = task.attempt;
-  See(e);
+  RecordEvent(e);
 }
 
 Micros World::HungUntil(const std::string& id) const {
@@ -64,20 +64,20 @@
 
 // Tasks on a hung machine still complete on time, but that is reported only when the machine goes
 // on. The agent's first step then is a tick, which checks its lease.
-void World::Hang(const std::string& id, Micros span) {
+void World::HangMachine(const std::string& id, Micros span) {
   Worker& w = workers_.at(id);
   if (w.hung_until > now_) return;
   w.hung_until = now_ + span;
-  Note("hangs " + id);
-  Later(w.hung_until, [this, id, agent = w.agent.get()] {
+  RecordNote("hangs " + id);
+  Schedule(w.hung_until, [this, id, agent = w.agent.get()] {
     auto it = workers_.find(id);
     if (it == workers_.end() || it->second.agent.get() != agent) return;
     agent->Tick(now_);
-    PumpMachine(id);
+    ProcessAgentActions(id);
   });
 }
 
-void World::PumpMachine(const std::string& id) {
+void World::ProcessAgentActions(const std::string& id) {
   Worker& w = workers_.at(id);
   const auto alive = [this, id, agent = w.agent.get()](auto then) {
     return [this, id, agent, then] {
@@ -85,9 +85,9 @@
         auto it = workers_.find(id);
         if (it == workers_.end() || it->second.agent.get() != agent) return;
         then(agent);
-        PumpMachine(id);
+        ProcessAgentActions(id);
       };
-      if (HungUntil(id) > now_) return Later(HungUntil(id), now);
+      if (HungUntil(id) > now_) return Schedule(HungUntil(id), now);
       now();
     };
   };
@@ -97,97 +97,99 @@
     switch (c.kind) {
       case Kind::kReport: {
         wire::Call call{"POST", "/checkin", wire::FormatReport(c.report), Seconds(4)};
-        Send(
+        SendRequest(
             id, NodeName(c.controller), std::move(call),
             [this, alive, report = c.report_id, to = c.controller](int status,
                                                                    const std::string& body) {
-              if (status == 200) seen_leader_ = static_cast<int>(to);
+              if (status == 200) last_known_leader_ = static_cast<int>(to);
               const HeartbeatResponse a = wire::ParseCheckinAnswer(std::max(status, 0), body);
               alive([this, report, a](agent::Agent* agent) { agent->OnAnswer(now_, report, a); })();
             });
         break;
       }
       case Kind::kDescribe:
-        if (outside_ && !work_.Find(c.text)) {  // not a job of the scenario
-          outside_->Describe(c.text, [this, alive, job = c.text](std::optional<JobSpec> spec) {
-            if (spec && !work_.Find(job)) work_.AddJob(*spec, spec->estimated_runtime, 0);
+        if (backend_ && !task_emulator_.FindJob(c.text)) {  // not a job of the scenario
+          backend_->FetchJobSpec(c.text, [this, alive, job = c.text](std::optional<JobSpec> spec) {
+            if (spec && !task_emulator_.FindJob(job))
+              task_emulator_.AddJob(*spec, spec->estimated_runtime, 0);
             alive([this, job, spec](agent::Agent* agent) {
               agent->OnDescription(now_, job, spec);
             })();
           });
           break;
         }
-        Later(now_ + Millis(5), alive([this, job = c.text](agent::Agent* agent) {
-                const JobSpec* spec = work_.Find(job);
-                agent->OnDescription(now_, job,
-                                     spec ? std::optional<JobSpec>(*spec) : std::nullopt);
-              }));
+        Schedule(now_ + Millis(5), alive([this, job = c.text](agent::Agent* agent) {
+                   const JobSpec* spec = task_emulator_.FindJob(job);
+                   agent->OnDescription(now_, job,
+                                        spec ? std::optional<JobSpec>(*spec) : std::nullopt);
+                 }));
         break;
       case Kind::kFetch: {
         const uint64_t serial = ++clock_.order;
         w.fetches[c.text] = serial;
-        Later(now_ + Seconds(c.gb / w.fetch_gb_per_s),
-              alive([this, id, image = c.text, serial](agent::Agent* agent) {
-                if (workers_.at(id).fetches[image] == serial) agent->OnImage(now_, image);
-              }));
+        Schedule(now_ + Seconds(c.gb / w.fetch_gb_per_s),
+                 alive([this, id, image = c.text, serial](agent::Agent* agent) {
+                   if (workers_.at(id).fetches[image] == serial) agent->OnImage(now_, image);
+                 }));
         break;
       }
       case Kind::kGiveUp:
         w.fetches.erase(c.text);
         break;
       case Kind::kLaunch: {
-        w.on.insert(c.task);
+        w.running_tasks.insert(c.task);
         Event e;
-        e.kind = Event::Kind::kTaskOn;
+        e.kind = Event::Kind::kTaskStarted;
         e.job = c.task.ref.job;
         e.task = c.task.ref.task;
         e.machine = id;
         e.number = c.task.attempt;
-        See(e);
+        RecordEvent(e);
         if (jobs_.contains(e.job)) ++jobs_.at(e.job).starts;
         // Not from within this call: a gang that becomes complete calls its members' agents.
-        Later(now_, [this, id, task = c.task] {
+        Schedule(now_, [this, id, task = c.task] {
           auto it = workers_.find(id);
-          if (it == workers_.end() || !it->second.on.contains(task)) return;
-          work_.Launch(id, task, it->second.sick);
+          if (it == workers_.end() || !it->second.running_tasks.contains(task)) return;
+          task_emulator_.Launch(id, task, it->second.fails_tasks);
         });
         break;
       }
       case Kind::kSave:
-        Later(now_, [this, id, task = c.task] {
+        Schedule(now_, [this, id, task = c.task] {
           auto it = workers_.find(id);
-          if (it != workers_.end() && it->second.on.contains(task)) work_.Save(id, task);
+          if (it != workers_.end() && it->second.running_tasks.contains(task))
+            task_emulator_.SaveCheckpoint(id, task);
         });
         break;
       case Kind::kKill:
-        TaskOff(id, c.task);
-        work_.Kill(c.task);
+        RecordTaskExit(id, c.task);
+        task_emulator_.Kill(c.task);
         break;
     }
   }
   const Micros next = std::max(w.agent->NextDeadline(), now_ + Micros{1});
-  if (next >= w.armed) return;
-  w.armed = next;
-  Later(next, alive([this, id, next](agent::Agent* agent) {
-          Worker& worker = workers_.at(id);
-          if (worker.armed == next) worker.armed = kNever;
-          agent->Tick(now_);
-        }));
+  if (next >= w.next_tick) return;
+  w.next_tick = next;
+  Schedule(next, alive([this, id, next](agent::Agent* agent) {
+             Worker& worker = workers_.at(id);
+             if (worker.next_tick == next) worker.next_tick = kNever;
+             agent->Tick(now_);
+           }));
 }
 
-void World::ServeMachine(const std::string& machine, uint64_t id, const wire::Call& call) {
+void World::HandleMachineRequest(const std::string& machine, uint64_t id, const wire::Call& call) {
   auto it = workers_.find(machine);
   if (it == workers_.end()) return;  // the machine is gone: no response
   if (it->second.hung_until > now_) {
-    return Later(it->second.hung_until,
-                 [this, machine, id, call] { ServeMachine(machine, id, call); });
+    return Schedule(it->second.hung_until,
+                    [this, machine, id, call] { HandleMachineRequest(machine, id, call); });
   }
   const std::optional<CommandRequest> op = wire::ParseDirect(call.body);
   if (!op) return Respond(id, 400, "{}");
   const int status =
       it->second.agent->OnDirect(now_, op->fencing_token, op->agent_epoch, op->commands);
   Respond(id, status, wire::FormatReport(it->second.agent->Status()));
-  PumpMachine(machine);
+  ProcessAgentActions(machine);
 }
 
 }  // namespace badgershore::rehearsal
--- a/src/rehearsal/nodes.cpp
+++ b/src/rehearsal/nodes.cpp
@@ -16,101 +16,106 @@
   s.teams = teams_;
   s.member = NodeName(index);
   s.client_listen = s.member;
-  s.peer_listen = prefix_ + s.member;
+  s.peer_listen = history_prefix_ + s.member;
   for (size_t k = 0; k < nodes_.size(); ++k) {
     if (k != index) s.members.push_back({NodeName(k), NodeName(k)});
   }
-  ++n.life;
-  n.frozen_until = {};
+  ++n.incarnation;
+  n.paused_until = {};
   Options options;
   options.cells = Cells();
-  n.core = std::make_unique<Controller>(s, options);
+  n.controller = std::make_unique<Controller>(s, options);
   n.callers.clear();
-  n.rate = store::RateLimiter(s.state_rps * 0.9 / static_cast<double>(nodes_.size()), now_);
-  Later(now_ + Between(0.001, 0.1), [this, index, life = n.life] { TickNode(index, life); });
+  n.state_rate_limiter =
+      store::RateLimiter(s.state_rps * 0.9 / static_cast<double>(nodes_.size()), now_);
+  Schedule(now_ + RandomDuration(0.001, 0.1),
+           [this, index, incarnation = n.incarnation] { TickNode(index, incarnation); });
 }
 
 void World::KillNode(size_t index, Micros back_after) {
   Node& n = nodes_[index];
-  if (!n.core && !outside_) return;
-  Note("ends " + NodeName(index));
-  if (outside_) return outside_->KillNode(index, back_after);
-  n.core.reset();
-  ++n.life;
-  for (auto& [id, p] : pending_) {  // connections to it are reset
+  if (!n.controller && !backend_) return;
+  RecordNote("ends " + NodeName(index));
+  if (backend_) return backend_->KillNode(index, back_after);
+  n.controller.reset();
+  ++n.incarnation;
+  for (auto& [id, p] : pending_requests_) {  // connections to it are reset
     if (p.to == NodeName(index))
-      Later(now_ + Millis(1), [this, id = id] { Finish(id, kNoAnswer, ""); });
+      Schedule(now_ + Millis(1), [this, id = id] { CompleteRequest(id, kNoAnswer, ""); });
   }
-  Later(now_ + back_after, [this, index] { StartNode(index); });
+  Schedule(now_ + back_after, [this, index] { StartNode(index); });
 }
 
-int World::Leader() const {
-  if (outside_) return seen_leader_;
+int World::LeaderIndex() const {
+  if (backend_) return last_known_leader_;
   for (size_t i = 0; i < nodes_.size(); ++i) {
-    if (nodes_[i].core && nodes_[i].core->leads()) return static_cast<int>(i);
+    if (nodes_[i].controller && nodes_[i].controller->leads()) return static_cast<int>(i);
   }
   return -1;
 }
 
-void World::TickNode(size_t index, int life) {
+void World::TickNode(size_t index, int incarnation) {
   Node& n = nodes_[index];
-  if (!n.core || n.life != life) return;
-  if (n.frozen_until > now_) {
-    return Later(n.frozen_until, [this, index, life] { TickNode(index, life); });
+  if (!n.controller || n.incarnation != incarnation) return;
+  if (n.paused_until > now_) {
+    return Schedule(n.paused_until, [this, index, incarnation] { TickNode(index, incarnation); });
   }
-  n.core->Tick(now_, now_.ToMillis());
-  if (const badgershore::Leader* leader = n.core->leader()) {
+  n.controller->Tick(now_, now_.ToMillis());
+  if (const badgershore::Leader* leader = n.controller->leader()) {
     const std::string fault = leader->VerifyCounts();
-    if (!fault.empty()) stage_->result.broken.push_back({"count", now_.ToSeconds(), fault});
+    if (!fault.empty()) context_->result.violations.push_back({"count", now_.ToSeconds(), fault});
   }
-  PumpNode(index);
-  if (!kept_reports_.empty() && Leader() >= 0 && Leader() != kept_under_) BringKeptReports();
-  Later(now_ + kTick, [this, index, life] { TickNode(index, life); });
+  ProcessNodeEffects(index);
+  if (!held_heartbeats_.empty() && LeaderIndex() >= 0 && LeaderIndex() != leader_when_held_)
+    DeliverHeldHeartbeats();
+  Schedule(now_ + kTick, [this, index, incarnation] { TickNode(index, incarnation); });
 }
 
 // Delivers the held heartbeats to a new leader while it reads its records, reconciles machines and
 // starts its first tasks.
-void World::BringKeptReports() {
-  for (const wire::Call& call : std::exchange(kept_reports_, {})) {
+void World::DeliverHeldHeartbeats() {
+  for (const wire::Call& call : std::exchange(held_heartbeats_, {})) {
     for (size_t k = 0; k < nodes_.size(); ++k) {
-      Later(now_ + Between(0.01, 3), [this, k, call] { Serve(0, NodeName(k), call); });
+      Schedule(now_ + RandomDuration(0.01, 3),
+               [this, k, call] { HandleRequest(0, NodeName(k), call); });
     }
   }
 }
 
 // Messages to a paused process are handled when it resumes.
-void World::WhenAwake(size_t index, std::function<void(Controller*)> then) {
+void World::RunWhenResumed(size_t index, std::function<void(Controller*)> then) {
   const Node& n = nodes_[index];
-  if (!n.core) return;
-  if (n.frozen_until > now_) {
-    return Later(n.frozen_until, [this, index, life = n.life, then = std::move(then)] {
-      if (nodes_[index].life == life) WhenAwake(index, then);
-    });
+  if (!n.controller) return;
+  if (n.paused_until > now_) {
+    return Schedule(n.paused_until,
+                    [this, index, incarnation = n.incarnation, then = std::move(then)] {
+                      if (nodes_[index].incarnation == incarnation) RunWhenResumed(index, then);
+                    });
   }
-  then(n.core.get());
-  PumpNode(index);
+  then(n.controller.get());
+  ProcessNodeEffects(index);
 }
 
-void World::NodeState(size_t index, const StateRequest& op) {
+void World::SendStateRequest(size_t index, const StateRequest& op) {
   const RequestId id = op.id;
   wire::Call call = wire::FormatStateCall(op);
-  Send(NodeName(index), kState, std::move(call),
-       [this, index, id, op](int status, const std::string& body) {
-         StateResponse r;
-         if (status == kNotSent) {
-           r.outcome = StateResponse::Outcome::kRefused;
-         } else if (status != kNoAnswer) {
-           r = wire::ParseStateAnswer(op, status, body);
-         }
-         nodes_[index].core->OnStateResponse(now_, id, std::move(r));
-         PumpNode(index);
-       });
+  SendRequest(NodeName(index), kState, std::move(call),
+              [this, index, id, op](int status, const std::string& body) {
+                StateResponse r;
+                if (status == kNotSent) {
+                  r.outcome = StateResponse::Outcome::kRefused;
+                } else if (status != kNoAnswer) {
+                  r = wire::ParseStateAnswer(op, status, body);
+                }
+                nodes_[index].controller->OnStateResponse(now_, id, std::move(r));
+                ProcessNodeEffects(index);
+              });
 }
 
-void World::PumpNode(size_t index) {
+void World::ProcessNodeEffects(size_t index) {
   Node& n = nodes_[index];
   const std::string name = NodeName(index);
-  Effects out = n.core->TakeEffects();
+  Effects out = n.controller->TakeEffects();
   const auto answer = [&](RequestId token, int status, std::string body) {
     auto it = n.callers.find(token);
     if (it == n.callers.end()) return;
@@ -121,102 +126,107 @@
     if (line.level == LogLine::Level::kDebug) continue;
     char at[32];
     std::snprintf(at, sizeof(at), "%.6f ", now_.ToSeconds());
-    stage_->result.log += at + name + " " + line.text + "\n";
+    context_->result.log += at + name + " " + line.text + "\n";
   }
   for (const HeartbeatResponse& a : out.heartbeat_responses)
     answer(a.request_id, a.status, wire::FormatCheckinAnswer(a));
   for (const ApiResponse& a : out.api_responses)
     answer(a.request_id, a.status, wire::FormatAnswer(a));
-  for (const PeerStatus& note : out.peer_statuses) {
+  for (const PeerStatus& message : out.peer_statuses) {
     for (size_t k = 0; k < nodes_.size(); ++k) {
       if (k == index) continue;
-      Deliver(name, NodeName(k), false, [this, k, note] {
-        WhenAwake(k, [this, note](Controller* core) { core->OnPeerStatus(now_, note); });
+      Deliver(name, NodeName(k), false, [this, k, message] {
+        RunWhenResumed(k, [this, message](Controller* controller) {
+          controller->OnPeerStatus(now_, message);
+        });
       });
     }
   }
   for (const membership::Message& m : out.membership_messages) {
     const size_t k = NodeIndex(m.to);
     Deliver(name, m.to, false, [this, k, m] {
-      WhenAwake(k, [this, m](Controller* core) { core->OnMembershipMessage(now_, m); });
+      RunWhenResumed(
+          k, [this, m](Controller* controller) { controller->OnMembershipMessage(now_, m); });
     });
   }
-  for (const CellDelivery& send : out.cell_deliveries) TellCell(index, send);
+  for (const CellDelivery& send : out.cell_deliveries) SendToCell(index, send);
   for (StateRequest& op : out.state_requests) {
     const bool paced =
         op.kind != StateRequest::Kind::kRenewLease && op.kind != StateRequest::Kind::kGrantLease &&
         op.kind != StateRequest::Kind::kRevokeLease && op.kind != StateRequest::Kind::kWatch;
-    if (!paced || n.rate.TryAcquire(now_, 1)) {
-      NodeState(index, op);
+    if (!paced || n.state_rate_limiter.TryAcquire(now_, 1)) {
+      SendStateRequest(index, op);
       continue;
     }
     // As in the state client: retried every 20 ms, refused after 1 s.
     auto attempt = std::make_shared<std::function<void()>>();
-    *attempt = [this, index, op, life = n.life, start = now_,
+    *attempt = [this, index, op, incarnation = n.incarnation, start = now_,
                 weak = std::weak_ptr<std::function<void()>>(attempt)] {
       Node& node = nodes_[index];
-      if (!node.core || node.life != life) return;
-      if (node.rate.TryAcquire(now_, 1)) return NodeState(index, op);
+      if (!node.controller || node.incarnation != incarnation) return;
+      if (node.state_rate_limiter.TryAcquire(now_, 1)) return SendStateRequest(index, op);
       if (now_ - start > Seconds(1)) {
         StateResponse r;
         r.outcome = StateResponse::Outcome::kRefused;
-        node.core->OnStateResponse(now_, op.id, r);
-        return PumpNode(index);
+        node.controller->OnStateResponse(now_, op.id, r);
+        return ProcessNodeEffects(index);
       }
-      Later(now_ + Millis(20), [self = weak.lock()] { (*self)(); });
+      Schedule(now_ + Millis(20), [self = weak.lock()] { (*self)(); });
     };
-    Later(now_ + Millis(20), [attempt] { (*attempt)(); });
+    Schedule(now_ + Millis(20), [attempt] { (*attempt)(); });
   }
   for (const CloudRequest& op : out.cloud_requests) {
-    Send(name, kCloud, wire::FormatCloudCall(op),
-         [this, index, op](int status, const std::string& body) {
-           CloudResponse r;
-           if (status == kNotSent) {
-             r.outcome = CloudResponse::Outcome::kThrottled;
-           } else if (status != kNoAnswer) {
-             r = wire::ParseCloudAnswer(op, status, body);
-           }
-           nodes_[index].core->OnCloudResponse(now_, op.id, std::move(r));
-           PumpNode(index);
-         });
+    SendRequest(name, kCloud, wire::FormatCloudCall(op),
+                [this, index, op](int status, const std::string& body) {
+                  CloudResponse r;
+                  if (status == kNotSent) {
+                    r.outcome = CloudResponse::Outcome::kThrottled;
+                  } else if (status != kNoAnswer) {
+                    r = wire::ParseCloudAnswer(op, status, body);
+                  }
+                  nodes_[index].controller->OnCloudResponse(now_, op.id, std::move(r));
+                  ProcessNodeEffects(index);
+                });
   }
   for (const CommandRequest& op : out.command_requests) {
     wire::Call call{"POST", "/do", wire::FormatDirect(op), Seconds(3)};
-    Send(name, op.endpoint, std::move(call),
-         [this, index, id = op.id](int status, const std::string& body) {
-           CommandResponse r;
-           r.status = std::max(status, 0);
-           if (status > 0) r.heartbeat = wire::ParseReport(body);
-           nodes_[index].core->OnCommandResponse(now_, id, std::move(r));
-           PumpNode(index);
-         });
+    SendRequest(name, op.endpoint, std::move(call),
+                [this, index, id = op.id](int status, const std::string& body) {
+                  CommandResponse r;
+                  r.status = std::max(status, 0);
+                  if (status > 0) r.heartbeat = wire::ParseReport(body);
+                  nodes_[index].controller->OnCommandResponse(now_, id, std::move(r));
+                  ProcessNodeEffects(index);
+                });
   }
 }
 
-void World::ServeNode(size_t index, uint64_t id, const wire::Call& call) {
+void World::HandleNodeRequest(size_t index, uint64_t id, const wire::Call& call) {
   Node& n = nodes_[index];
-  if (!n.core) return Respond(id, kNotSent, "");
-  if (n.frozen_until > now_) {
-    return Later(n.frozen_until, [this, index, id, call] { ServeNode(index, id, call); });
+  if (!n.controller) return Respond(id, kNotSent, "");
+  if (n.paused_until > now_) {
+    return Schedule(n.paused_until,
+                    [this, index, id, call] { HandleNodeRequest(index, id, call); });
   }
-  if (call.target == "/healthz") return Respond(id, n.core->IsHealthy(now_) ? 200 : 503, "{}");
+  if (call.target == "/healthz")
+    return Respond(id, n.controller->IsHealthy(now_) ? 200 : 503, "{}");
   const RequestId token = ++n.next_token;
   n.callers[token] = id;
   if (call.target == "/checkin") {
-    n.core->OnHeartbeat(now_, token, *wire::ParseReport(call.body));
+    n.controller->OnHeartbeat(now_, token, *wire::ParseReport(call.body));
   } else if (call.target == "/work") {
-    n.core->OnSubmit(now_, token, wire::ParseSubmission(call.body, now_.ToMillis()));
+    n.controller->OnSubmit(now_, token, wire::ParseSubmission(call.body, now_.ToMillis()));
   } else if (call.target.ends_with("/withdraw")) {
-    n.core->OnCancel(now_, token, call.target.substr(6, call.target.size() - 15));
+    n.controller->OnCancel(now_, token, call.target.substr(6, call.target.size() - 15));
   } else {
-    n.core->OnQuery(now_, token, call.target.substr(6));
+    n.controller->OnQuery(now_, token, call.target.substr(6));
   }
-  PumpNode(index);
+  ProcessNodeEffects(index);
 }
 
 CellsPlan World::Cells() const {
   CellsPlan plan;
-  if (!all_) return plan;
+  if (!all_cells_) return plan;
   plan.self = name_;
   for (size_t i = 0; i < scenario_.cells.size(); ++i) {
     CellSite site;
@@ -231,25 +241,26 @@
 
 // Across a partition between cells a message is lost or delayed, as on a connection that stays
 // open.
-void World::TellCell(size_t index, const CellDelivery& send) {
+void World::SendToCell(size_t index, const CellDelivery& send) {
   (void)index;
-  for (World* other : *all_) {
+  for (World* other : *all_cells_) {
     if (other->name_ != send.message.to) continue;
-    Micros at = now_ + Between(0.005, 0.03);
-    for (const Stage::CellCut& cut : stage_->cuts) {
-      if (cut.until <= now_) continue;
+    Micros at = now_ + RandomDuration(0.005, 0.03);
+    for (const ScenarioContext::CellPartition& partition : context_->cell_partitions) {
+      if (partition.until <= now_) continue;
       const auto named = [&](const std::string& a, const std::string& b) {
-        return (cut.a == a || cut.a == "all") && cut.b == b;
+        return (partition.a == a || partition.a == "all") && partition.b == b;
       };
       if (!named(name_, other->name_) && !named(other->name_, name_)) continue;
-      if (Chance() < 0.9) return;
-      at = std::max(at, cut.until + Between(0.001, 2));
+      if (RandomFraction() < 0.9) return;
+      at = std::max(at, partition.until + RandomDuration(0.001, 2));
     }
     for (const std::string& to : send.addresses) {
       const size_t k = NodeIndex(to);
-      Later(at, [other, k, note = send.message] {
-        other->WhenAwake(
-            k, [other, note](Controller* core) { core->OnCellMessage(other->now_, note); });
+      Schedule(at, [other, k, message = send.message] {
+        other->RunWhenResumed(k, [other, message](Controller* controller) {
+          controller->OnCellMessage(other->now_, message);
+        });
       });
     }
   }
--- a/src/rehearsal/service.h
+++ b/src/rehearsal/service.h
@@ -11,40 +11,40 @@
 
 namespace badgershore::rehearsal {
 
-class Service {
+class ServiceStats {
  public:
-  struct Served {
-    int accepted = 0, withdrawn = 0, started = 0, done = 0;
+  struct ClassStats {
+    int accepted = 0, cancelled = 0, started = 0, done = 0;
     double latest_start_s = 0, latest_done_s = 0;  // since submission
     // The largest tenth of the class' jobs by number of tasks, without cancelled ones.
-    int large = 0, large_done = 0;
-    double latest_large_start_s = 0;  // for a job that has not started: until the end
+    int largest = 0, largest_done = 0;
+    double latest_largest_start_s = 0;  // for a job that has not started: until the end
     // The share of jobs without cancellation that were done.
     double share() const {
-      const int owed = accepted - withdrawn;
-      return owed > 0 ? static_cast<double>(done) / owed : 1;
+      const int expected = accepted - cancelled;
+      return expected > 0 ? static_cast<double>(done) / expected : 1;
     }
   };
-  struct Bound {
+  struct LatencyBound {
     double start_s = 0, done_s = 0;  // 0: none
   };
   using Key = std::pair<std::string, std::string>;  // team, class
 
-  explicit Service(std::map<std::string, Bound> bounds) : bounds_(std::move(bounds)) {}
-  void See(const Event& e);
-  std::map<Key, Served> Sum(int64_t end_us) const;
+  explicit ServiceStats(std::map<std::string, LatencyBound> bounds) : bounds_(std::move(bounds)) {}
+  void OnEvent(const Event& e);
+  std::map<Key, ClassStats> Summarize(int64_t end_us) const;
   // Reports a team and class with less than half of its jobs, or of its largest jobs, done; a class
   // over its time bounds; and a largest job that has not started within four minutes.
-  std::vector<Broken> Failed(int64_t end_us) const;
+  std::vector<Violation> Violations(int64_t end_us) const;
 
  private:
   struct Job {
     Key key;
     int tasks = 0;
     int64_t submitted = 0, started = -1, done = -1;
-    bool accepted = false, withdrawn = false;
+    bool accepted = false, cancelled = false;
   };
-  std::map<std::string, Bound> bounds_;  // by class
+  std::map<std::string, LatencyBound> bounds_;  // by class
   std::map<std::string, Job> jobs_;
 };
 
--- a/src/rehearsal/site.cpp
+++ b/src/rehearsal/site.cpp
@@ -26,12 +26,12 @@
       scenario_(std::move(scenario)),
       options_(std::move(options)),
       cloud_addr_(site::FreeAddress()),
-      states_(Addresses(static_cast<size_t>(options_.state_replicas))),
-      nodes_(Addresses(3)),
-      backs_(Addresses(3)),
+      state_addresses_(Addresses(static_cast<size_t>(options_.state_replicas))),
+      node_addresses_(Addresses(3)),
+      peer_addresses_(Addresses(3)),
       cloud_(
-          loop, [this](http::Message m) { return Serve("cloud", std::move(m)); }, 256),
-      relay_(loop, nodes_),
+          loop, [this](http::Message m) { return HandleRequest("cloud", std::move(m)); }, 256),
+      relay_(loop, node_addresses_),
       processes_(loop, Commands()),
       world_(scenario_, options_.seed, this) {}
 
@@ -39,17 +39,20 @@
   const PlatformSettings& s = scenario_.site;
   wire::Writer w;
   w.Begin().Put("member", "node-" + std::to_string(node)).Put("site", s.zones[0]);
-  w.Put("client_listen", nodes_[node]).Put("back", backs_[node]).Key("members").BeginList();
-  for (size_t i = 0; i < nodes_.size(); ++i) {
+  w.Put("client_listen", node_addresses_[node])
+      .Put("back", peer_addresses_[node])
+      .Key("members")
+      .BeginList();
+  for (size_t i = 0; i < node_addresses_.size(); ++i) {
     if (i == node) continue;
     w.Begin().Put("member", "node-" + std::to_string(i)).Put("site", s.zones[0]);
-    w.Put("addr", backs_[i]).End();
+    w.Put("addr", peer_addresses_[i]).End();
   }
   w.EndList()
       .Key("external")
       .Begin()
       .Put("cloud", cloud_addr_)
-      .Put("state", states_[node % states_.size()])
+      .Put("state", state_addresses_[node % state_addresses_.size()])
       .End();
   w.Key("params").Begin().Key("zones").BeginList();
   for (const std::string& z : s.zones) w.Str(z);
@@ -89,7 +92,7 @@
       << "\n  value_kb: " << s.state_value_kb << "\n  txn_ops: " << s.state_txn_ops << "\n";
   std::vector<site::Command> out;
   AddStateCommands(&out);
-  for (size_t i = 0; i < nodes_.size(); ++i) {
+  for (size_t i = 0; i < node_addresses_.size(); ++i) {
     const std::string name = "node-" + std::to_string(i);
     std::ofstream(dir + "/" + name + ".json") << Settings(i);
     std::vector<std::string> argv = {options_.programs + "/badgershore", "--config",
@@ -104,8 +107,8 @@
 }
 
 std::string Site::ProcessName(size_t child) const {
-  if (child >= states_.size()) return NodeName(child - states_.size());
-  return states_.size() == 1 ? "state" : "state-" + std::to_string(child);
+  if (child >= state_addresses_.size()) return NodeName(child - state_addresses_.size());
+  return state_addresses_.size() == 1 ? "state" : "state-" + std::to_string(child);
 }
 
 std::string Site::StateData(size_t replica) const {
@@ -114,23 +117,24 @@
 
 void Site::AddStateCommands(std::vector<site::Command>* out) {
   const std::string program = options_.programs + "/badgershore-state";
-  const std::string set = options_.dir + "/replicas.yaml", limits = options_.dir + "/state.yaml";
-  if (states_.size() > 1) {
-    std::ofstream file(set);
+  const std::string replica_set = options_.dir + "/replicas.yaml",
+                    limits = options_.dir + "/state.yaml";
+  if (state_addresses_.size() > 1) {
+    std::ofstream file(replica_set);
     file << "replicas:\n";
-    for (size_t i = 0; i < states_.size(); ++i) {
-      file << "- {name: " << ProcessName(i) << ", client: \"" << states_[i] << "\", peer: \""
-           << site::FreeAddress() << "\"}\n";
+    for (size_t i = 0; i < state_addresses_.size(); ++i) {
+      file << "- {name: " << ProcessName(i) << ", client: \"" << state_addresses_[i]
+           << "\", peer: \"" << site::FreeAddress() << "\"}\n";
     }
   }
-  for (size_t i = 0; i < states_.size(); ++i) {
+  for (size_t i = 0; i < state_addresses_.size(); ++i) {
     const std::string name = ProcessName(i), log = options_.dir + "/" + name + ".log";
     std::vector<std::string> argv = {program, "serve", "--data", StateData(i), "--options", limits};
-    if (states_.size() == 1) {
-      argv.insert(argv.end(), {"--listen", states_[i]});
+    if (state_addresses_.size() == 1) {
+      argv.insert(argv.end(), {"--listen", state_addresses_[i]});
     } else {
-      argv.insert(argv.end(), {"--replicas", set, "--name", name});
-      site::RunToEnd({program, "init", "--data", StateData(i), "--replicas", set}, log);
+      argv.insert(argv.end(), {"--replicas", replica_set, "--name", name});
+      site::RunToEnd({program, "init", "--data", StateData(i), "--replicas", replica_set}, log);
     }
     out->push_back({name, std::move(argv), log, 0});
   }
@@ -148,12 +152,12 @@
   std::filesystem::remove_all(StateData(replica), ignored);
 }
 
-badgershore::Result<void> Site::Start(std::function<void()> over) {
+badgershore::Result<void> Site::Start(std::function<void()> on_exit) {
   if (auto started = cloud_.Start(cloud_addr_); !started) return started;
   if (auto started = relay_.Start(options_.listen); !started) return started;
-  processes_.Start(std::move(over));
+  processes_.Start(std::move(on_exit));
   world_.Begin(io::Loop::Now());
-  io::Spawn(Drive());
+  io::Spawn(RunWorld());
   return {};
 }
 
@@ -162,7 +166,7 @@
   processes_.Stop();
 }
 
-io::Task<void> Site::Drive() {
+io::Task<void> Site::RunWorld() {
   while (!stopping_) {
     world_.RunUntil(io::Loop::Now());
     if (world_.over()) {
@@ -173,17 +177,17 @@
   }
 }
 
-io::Task<http::ServerAnswer> Site::Serve(std::string host, http::Message m) {
+io::Task<http::ServerAnswer> Site::HandleRequest(std::string host, http::Message m) {
   io::Slot<std::pair<int, std::string>> slot(loop_);
   wire::Call call{m.method, m.target, m.body, Seconds(5)};
   world_.RunUntil(io::Loop::Now());
   // The slot may be destroyed before the response arrives; then the response is dropped.
-  auto alive = std::make_shared<bool>(true);
-  world_.Receive(host, call, [&slot, alive](int status, const std::string& body) {
-    if (*alive) slot.Set({status, body});
+  auto waiting = std::make_shared<bool>(true);
+  world_.HandleExternalRequest(host, call, [&slot, waiting](int status, const std::string& body) {
+    if (*waiting) slot.Set({status, body});
   });
   const auto answer = co_await slot.Wait(io::Loop::Now() + Seconds(5));
-  *alive = false;
+  *waiting = false;
   http::ServerAnswer out;
   out.hang_up = !answer || answer->first <= 0;
   if (answer) out = {answer->first, answer->second, 0, out.hang_up};
@@ -192,7 +196,7 @@
 
 std::string Site::OpenMachine(const std::string& id) {
   auto& server = machines_[id] = std::make_unique<http::Server>(
-      loop_, [this, id](http::Message m) { return Serve(id, std::move(m)); }, 16);
+      loop_, [this, id](http::Message m) { return HandleRequest(id, std::move(m)); }, 16);
   const bool started = server->Start("127.0.0.1:0").has_value();
   return started ? server->address() : "127.0.0.1:1";
 }
@@ -200,7 +204,8 @@
 // The server keeps running, so that requests to the machine time out, as they do after a loss.
 void Site::CloseMachine(const std::string& id) { connections_.erase(id); }
 
-io::Task<void> Site::Call(std::shared_ptr<http::Client> client, wire::Call call, Reply reply) {
+io::Task<void> Site::SendRequest(std::shared_ptr<http::Client> client, wire::Call call,
+                                 Reply reply) {
   const http::ClientAnswer a = co_await client->Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
   world_.RunUntil(io::Loop::Now());
@@ -211,57 +216,59 @@
 std::shared_ptr<http::Client> Site::ClientOf(const std::string& from, size_t node) {
   // The users' load balancer picks a node for each connection; an agent keeps one connection to one
   // node.
-  if (!IsMachine(from)) return std::make_shared<http::Client>(loop_, nodes_[node], 0, kLimits);
+  if (!IsMachine(from))
+    return std::make_shared<http::Client>(loop_, node_addresses_[node], 0, kLimits);
   WorkerConnection& connection = connections_[from];
   if (!connection.client || connection.node != node) {
-    connection = {node, std::make_shared<http::Client>(loop_, nodes_[node], 1, kLimits)};
+    connection = {node, std::make_shared<http::Client>(loop_, node_addresses_[node], 1, kLimits)};
   }
   return connection.client;
 }
 
 void Site::CallNode(const std::string& from, size_t node, const wire::Call& call, Reply reply) {
-  const Micros asked = io::Loop::Now();
+  const Micros sent_at = io::Loop::Now();
   const std::shared_ptr<http::Client> client = ClientOf(from, node);
-  const bool report = IsMachine(from);
+  const bool heartbeat = IsMachine(from);
   const http::Traffic before = client->traffic();
-  io::Spawn(Call(client, call,
-                 [this, client, report, before, asked, reply = std::move(reply)](
-                     int status, const std::string& body) {
-                   Traffic& traffic = report ? report_traffic_ : user_traffic_;
-                   const http::Traffic& after = client->traffic();
-                   ++traffic.requests;
-                   traffic.sent += after.sent - before.sent;
-                   traffic.received += after.received - before.received;
-                   if (status > 0) traffic.waits.Add((io::Loop::Now() - asked).ToSeconds());
-                   reply(status, body);
-                 }));
+  io::Spawn(SendRequest(client, call,
+                        [this, client, heartbeat, before, sent_at, reply = std::move(reply)](
+                            int status, const std::string& body) {
+                          Traffic& traffic = heartbeat ? heartbeat_traffic_ : user_traffic_;
+                          const http::Traffic& after = client->traffic();
+                          ++traffic.requests;
+                          traffic.sent += after.sent - before.sent;
+                          traffic.received += after.received - before.received;
+                          if (status > 0)
+                            traffic.latencies.Add((io::Loop::Now() - sent_at).ToSeconds());
+                          reply(status, body);
+                        }));
 }
 
-void Site::Describe(const std::string& job, std::function<void(std::optional<JobSpec>)> then) {
+void Site::FetchJobSpec(const std::string& job, std::function<void(std::optional<JobSpec>)> then) {
   wire::Call call{"GET", "/store/" + keys::kJob + job, "", Seconds(4)};
   const std::string key = keys::kJob + job;
-  const std::string& address = states_[describe_turn_++ % states_.size()];
+  const std::string& address = state_addresses_[next_state_replica_++ % state_addresses_.size()];
   auto client = std::make_shared<http::Client>(loop_, address, 0, kLimits);
-  io::Spawn(Call(std::move(client), std::move(call),
-                 [key, then = std::move(then)](int status, const std::string& body) {
-                   rapidjson::Document doc;
-                   const wire::Value* value = nullptr;
-                   if (status == 200 && wire::ParseObject(body, &doc)) {
-                     value = wire::Find(doc, "value");
-                   }
-                   const Record record = value ? wire::ReadRecord(key, *value) : Record();
-                   const JobSpec* spec = std::get_if<JobSpec>(&record);
-                   then(spec ? std::optional<JobSpec>(*spec) : std::nullopt);
-                 }));
+  io::Spawn(SendRequest(std::move(client), std::move(call),
+                        [key, then = std::move(then)](int status, const std::string& body) {
+                          rapidjson::Document doc;
+                          const wire::Value* value = nullptr;
+                          if (status == 200 && wire::ParseObject(body, &doc)) {
+                            value = wire::Find(doc, "value");
+                          }
+                          const Record record = value ? wire::ReadRecord(key, *value) : Record();
+                          const JobSpec* spec = std::get_if<JobSpec>(&record);
+                          then(spec ? std::optional<JobSpec>(*spec) : std::nullopt);
+                        }));
 }
 
 io::Task<Site::Counts> Site::Count() {
   Counts out;
   for (const auto& [id, m] : world_.cloud().machines()) {
-    if (m.gone < kNever || m.failed < kNever) continue;
-    ++(m.up < kNever ? out.up : out.starting);
+    if (m.gone_at < kNever || m.failed_at < kNever) continue;
+    ++(m.up_at < kNever ? out.up : out.starting);
   }
-  http::Client client(loop_, states_[0], 0, kLimits);
+  http::Client client(loop_, state_addresses_[0], 0, kLimits);
   for (const std::string& prefix : {keys::kJob, keys::kJobEnd}) {
     std::string target = "/store?limit=1000&starts=" + prefix;
     const http::ClientAnswer a = co_await client.Request("GET", std::move(target), "", Seconds(2));
@@ -269,7 +276,7 @@
     if (!a.answered() || !wire::ParseObject(a.body, &doc)) continue;
     const wire::Value* entries = wire::Find(doc, "entries");
     const int n = entries && entries->IsArray() ? static_cast<int>(entries->Size()) : 0;
-    (prefix == keys::kJob ? out.live : out.over) = n;
+    (prefix == keys::kJob ? out.open : out.finished) = n;
   }
   co_return out;
 }
--- a/src/rehearsal/site.h
+++ b/src/rehearsal/site.h
@@ -22,13 +22,13 @@
   std::string controller_options;  // contents of the options file (YAML); empty: none
 };
 
-class Site : public Outside {
+class Site : public ProcessBackend {
  public:
   Site(io::Loop* loop, Scenario scenario, SiteOptions options);
 
   // Runs until the scenario is over, if it has jobs of its own, or until Stop. `over` is called
   // when all processes have exited.
-  [[nodiscard]] badgershore::Result<void> Start(std::function<void()> over);
+  [[nodiscard]] badgershore::Result<void> Start(std::function<void()> on_exit);
   void Stop();
   std::string address() const { return relay_.address(); }
   bool ready() const { return relay_.ready(); }
@@ -36,12 +36,12 @@
 
   // Requests that agents, or users, have sent to the controllers.
   struct Traffic : http::Traffic {
-    stats::Durations waits;  // from request to response
+    stats::Durations latencies;  // from request to response
   };
-  const Traffic& report_traffic() const { return report_traffic_; }
+  const Traffic& heartbeat_traffic() const { return heartbeat_traffic_; }
   const Traffic& user_traffic() const { return user_traffic_; }
-  const std::vector<std::string>& node_addresses() const { return nodes_; }
-  const std::vector<std::string>& state_addresses() const { return states_; }
+  const std::vector<std::string>& node_addresses() const { return node_addresses_; }
+  const std::vector<std::string>& state_addresses() const { return state_addresses_; }
   // The replicas of the state service, then the controllers.
   const site::Processes& processes() const { return processes_; }
   std::string ProcessName(size_t child) const;
@@ -49,12 +49,12 @@
   void LoseState(size_t replica, Micros back_after);
   // Must be set before Start.
   std::function<void(const Event&)> on_event;
-  void OnProcessEnded(std::function<void(const std::string& name, int status)> told) {
-    processes_.on_ended = std::move(told);
+  void OnProcessEnded(std::function<void(const std::string& name, int status)> callback) {
+    processes_.on_ended = std::move(callback);
   }
   // Open and finished jobs, and machines that are up and that are starting.
   struct Counts {
-    int live = 0, over = 0, up = 0, starting = 0;
+    int open = 0, finished = 0, up = 0, starting = 0;
     bool operator==(const Counts&) const = default;
   };
   io::Task<Counts> Count();
@@ -62,20 +62,21 @@
   std::string OpenMachine(const std::string& id) override;
   void CloseMachine(const std::string& id) override;
   void CallNode(const std::string& from, size_t node, const wire::Call& call, Reply reply) override;
-  void Describe(const std::string& job, std::function<void(std::optional<JobSpec>)> then) override;
+  void FetchJobSpec(const std::string& job,
+                    std::function<void(std::optional<JobSpec>)> then) override;
   void KillNode(size_t node, Micros back_after) override {
-    processes_.Kill(states_.size() + node, back_after);
+    processes_.Kill(state_addresses_.size() + node, back_after);
   }
-  void Observe(const Event& event) override {
+  void OnEvent(const Event& event) override {
     if (on_event) on_event(event);
   }
   void RestartState(Micros back_after) override { processes_.Kill(0, back_after); }
 
  private:
-  io::Task<void> Drive();
+  io::Task<void> RunWorld();
   io::Task<void> RemoveStateData(size_t replica);
-  io::Task<http::ServerAnswer> Serve(std::string host, http::Message m);
-  io::Task<void> Call(std::shared_ptr<http::Client> client, wire::Call call, Reply reply);
+  io::Task<http::ServerAnswer> HandleRequest(std::string host, http::Message m);
+  io::Task<void> SendRequest(std::shared_ptr<http::Client> client, wire::Call call, Reply reply);
   std::shared_ptr<http::Client> ClientOf(const std::string& from, size_t node);
   std::vector<site::Command> Commands();
   void AddStateCommands(std::vector<site::Command>* out);
@@ -86,19 +87,19 @@
   Scenario scenario_;
   SiteOptions options_;
   std::string cloud_addr_;
-  std::vector<std::string> states_, nodes_, backs_;
+  std::vector<std::string> state_addresses_, node_addresses_, peer_addresses_;
   std::map<std::string, std::unique_ptr<http::Server>> machines_;
   struct WorkerConnection {
     size_t node = 0;
     std::shared_ptr<http::Client> client;
   };
   std::map<std::string, WorkerConnection> connections_;  // by machine
-  Traffic report_traffic_, user_traffic_;
+  Traffic heartbeat_traffic_, user_traffic_;
   http::Server cloud_;
   site::Relay relay_;
   site::Processes processes_;
   World world_;
-  size_t describe_turn_ = 0;
+  size_t next_state_replica_ = 0;
   bool stopping_ = false;
 };
 
--- a/src/rehearsal/troubles.cpp
+++ b/src/rehearsal/troubles.cpp
@@ -5,40 +5,40 @@
 
 namespace badgershore::rehearsal {
 
-void World::Strike(const Trouble& t) {
+void World::InjectFault(const Trouble& t) {
   using Kind = Trouble::Kind;
-  const auto until = [&](std::function<void()> then) { Later(now_ + t.span, std::move(then)); };
+  const auto until = [&](std::function<void()> then) { Schedule(now_ + t.span, std::move(then)); };
   const auto each_machine = [&](auto then) {
     std::vector<std::string> ids;
     for (const auto& [id, w] : workers_) ids.push_back(id);
     for (const std::string& id : ids) {
-      if (Chance() < t.share) then(id);
+      if (RandomFraction() < t.share) then(id);
     }
   };
-  Note("trouble " + std::to_string(static_cast<int>(t.kind)) + " begins");
+  RecordNote("trouble " + std::to_string(static_cast<int>(t.kind)) + " begins");
   switch (t.kind) {
     case Kind::kCloudDown:
-      cloud_.down = true;
-      return until([this] { cloud_.down = false; });
+      cloud_.api_down = true;
+      return until([this] { cloud_.api_down = false; });
     case Kind::kCloudEmpty:
-      cloud_.empty = true;
-      return until([this] { cloud_.empty = false; });
+      cloud_.no_capacity = true;
+      return until([this] { cloud_.no_capacity = false; });
     case Kind::kGrantsVanish:
       cloud_.vanish_share = t.share;
       return until([this] { cloud_.vanish_share = 0; });
     case Kind::kBootsNever:
-      cloud_.never_share = t.share;
-      return until([this] { cloud_.never_share = 0; });
+      cloud_.never_boots_share = t.share;
+      return until([this] { cloud_.never_boots_share = 0; });
     case Kind::kSpotWave:
       return each_machine([&](const std::string& id) {
         Worker& w = workers_.at(id);
         if (!w.record.spot) return;
-        const Micros notice = Chance() < 0.3 ? Micros{} : Between(4, 12);
+        const Micros notice = RandomFraction() < 0.3 ? Micros{} : RandomDuration(4, 12);
         if (notice > Micros{}) {
           w.agent->SetNotice(now_, notice);
-          PumpMachine(id);
+          ProcessAgentActions(id);
         }
-        Later(now_ + notice, [this, id] { cloud_.Take(now_, id); });
+        Schedule(now_ + notice, [this, id] { cloud_.Terminate(now_, id); });
       });
     case Kind::kStateDown:
       state_down_ = true;
@@ -47,12 +47,12 @@
         if (state_) state_->RenewAllLeases(now_);
       });
     case Kind::kStateMute:
-      mute_share_ = t.share;
-      return until([this] { mute_share_ = 0; });
+      lost_response_share_ = t.share;
+      return until([this] { lost_response_share_ = 0; });
     case Kind::kStateLate:
-      late_share_ = t.share;
-      late_until_ = now_ + t.span;
-      return until([this] { late_share_ = 0; });
+      delayed_write_share_ = t.share;
+      delayed_writes_until_ = now_ + t.span;
+      return until([this] { delayed_write_share_ = 0; });
     case Kind::kStateRestart:
       return RestartState(std::max(t.span, Millis(200)));
     case Kind::kDiskFull:
@@ -60,9 +60,9 @@
       return until([this] { disk_full_ = false; });
     case Kind::kKill:
       for (size_t i = 0; i < nodes_.size(); ++i) {
-        const bool leads = Leader() == static_cast<int>(i);
+        const bool leads = LeaderIndex() == static_cast<int>(i);
         if (t.who == "all" || t.who == NodeName(i) || (t.who == "leader" && leads)) {
-          const Micros usual = Between(2, 4);
+          const Micros usual = RandomDuration(2, 4);
           KillNode(i, t.span.count > 0 ? t.span : usual);
           if (t.who == "leader") break;
         }
@@ -71,121 +71,122 @@
     case Kind::kStateRefuses:
     case Kind::kFreeze:
       for (size_t i = 0; i < nodes_.size(); ++i) {
-        const bool leads = Leader() == static_cast<int>(i);
+        const bool leads = LeaderIndex() == static_cast<int>(i);
         if (t.who != NodeName(i) && !(t.who == "leader" && leads)) continue;
-        (t.kind == Kind::kFreeze ? nodes_[i].frozen_until : nodes_[i].refused_until) =
+        (t.kind == Kind::kFreeze ? nodes_[i].paused_until : nodes_[i].state_refused_until) =
             now_ + t.span;
         break;
       }
       return;
     case Kind::kStateSlow:
-      distortions_.slow_state = t.share;
-      return until([this] { distortions_.slow_state = 0; });
+      message_faults_.slow_state_share = t.share;
+      return until([this] { message_faults_.slow_state_share = 0; });
     case Kind::kLateWrites:
-      distortions_.late_writes = t.share;
-      return until([this] { distortions_.late_writes = 0; });
+      message_faults_.delayed_write_share = t.share;
+      return until([this] { message_faults_.delayed_write_share = 0; });
     case Kind::kLateReports:
-      distortions_.late_reports = t.share;
-      return until([this] { distortions_.late_reports = 0; });
+      message_faults_.duplicate_heartbeat_share = t.share;
+      return until([this] { message_faults_.duplicate_heartbeat_share = 0; });
     case Kind::kDeaf:
       return each_machine([&](const std::string& id) {
-        distortions_.deaf.insert(id);
-        until([this, id] { distortions_.deaf.erase(id); });
+        message_faults_.cannot_receive.insert(id);
+        until([this, id] { message_faults_.cannot_receive.erase(id); });
       });
     case Kind::kMute:
       return each_machine([&](const std::string& id) {
-        distortions_.mute.insert(id);
-        until([this, id] { distortions_.mute.erase(id); });
+        message_faults_.cannot_send.insert(id);
+        until([this, id] { message_faults_.cannot_send.erase(id); });
       });
     case Kind::kHang:
-      return each_machine([&](const std::string& id) { Hang(id, t.span); });
+      return each_machine([&](const std::string& id) { HangMachine(id, t.span); });
     case Kind::kCancelNow:
-      return CallOff(t);
+      return CancelRunningJobs(t);
     case Kind::kCancelAtEnd:
-      cancel_at_end_ = t.share;
-      return until([this] { cancel_at_end_ = 0; });
+      cancel_at_end_share_ = t.share;
+      return until([this] { cancel_at_end_share_ = 0; });
     case Kind::kCloseLooks:
-      look_closely_ = true;
-      return until([this] { look_closely_ = false; });
+      query_bursts_ = true;
+      return until([this] { query_bursts_ = false; });
     case Kind::kOddRequests:
-      odd_ = true;
-      RequestOddly();
-      return until([this] { odd_ = false; });
+      unusual_requests_ = true;
+      SendUnusualRequests();
+      return until([this] { unusual_requests_ = false; });
     case Kind::kReportsForNext:
-      distortions_.reports_for_next = t.share;
-      return until([this] { distortions_.reports_for_next = 0; });
+      message_faults_.held_heartbeat_share = t.share;
+      return until([this] { message_faults_.held_heartbeat_share = 0; });
     case Kind::kRetire:
       for (size_t i = 0; i < nodes_.size(); ++i) {
-        const bool leads = Leader() == static_cast<int>(i);
-        if (!nodes_[i].core ||
+        const bool leads = LeaderIndex() == static_cast<int>(i);
+        if (!nodes_[i].controller ||
             !(t.who == "all" || t.who == NodeName(i) || (t.who == "leader" && leads))) {
           continue;
         }
-        Note("retires " + NodeName(i));
-        nodes_[i].core->BeginHandover(now_);
-        PumpNode(i);
-        Later(now_ + Millis(1200),
-              [this, i, life = nodes_[i].life, back = std::max(t.span, Seconds(2))] {
-                if (nodes_[i].life == life) KillNode(i, back);
-              });
+        RecordNote("retires " + NodeName(i));
+        nodes_[i].controller->BeginHandover(now_);
+        ProcessNodeEffects(i);
+        Schedule(now_ + Millis(1200), [this, i, incarnation = nodes_[i].incarnation,
+                                       back = std::max(t.span, Seconds(2))] {
+          if (nodes_[i].incarnation == incarnation) KillNode(i, back);
+        });
         if (t.who == "leader") break;
       }
       return;
     case Kind::kRestore:
-      return RestoreState();
+      return RestoreStateBackup();
     case Kind::kLimit:
       for (Team& team : teams_) {
         if (team.name != t.team) continue;
-        const auto says = [this, team = t.team](int64_t cpu) {
+        const auto record_limit = [this, team = t.team](int64_t cpu) {
           Event e;
           e.kind = Event::Kind::kLimit;
           e.text = team;
           e.number = static_cast<uint64_t>(cpu);
-          See(e);
+          RecordEvent(e);
         };
         // While the controllers of all cells restart, the higher of the two limits applies. A cell
         // that runs more than its share of a lower limit stops no task, while the other cells start
         // tasks within their shares: so the new limit holds once the earlier tasks have ended.
         Micros longest;
         for (const JobClass& c : scenario_.classes) longest = std::max(longest, c.run.Scaled(1.5));
-        says(std::max(team.limit.cpu, t.cpus_max));
-        Later(now_ + t.span + longest + Seconds(15), [says, cpu = t.cpus_max] { says(cpu); });
+        record_limit(std::max(team.limit.cpu, t.cpus_max));
+        Schedule(now_ + t.span + longest + Seconds(15),
+                 [record_limit, cpu = t.cpus_max] { record_limit(cpu); });
         team.limit.cpu = t.cpus_max;
       }
       // A rolling restart.
       for (size_t i = 0; i < nodes_.size(); ++i) {
-        Later(now_ + t.span.Scaled(static_cast<double>(i) / 3),
-              [this, i] { KillNode(i, Between(1, 2)); });
+        Schedule(now_ + t.span.Scaled(static_cast<double>(i) / 3),
+                 [this, i] { KillNode(i, RandomDuration(1, 2)); });
       }
       return;
     case Kind::kCut: {
       if (t.who.starts_with("cell-")) {
-        stage_->cuts.push_back({t.who.substr(5), t.whom.substr(5), now_ + t.span});
+        context_->cell_partitions.push_back({t.who.substr(5), t.whom.substr(5), now_ + t.span});
         return;
       }
       if (t.who == "followers") {
         for (size_t i = 0; i < nodes_.size(); ++i) {
-          if (static_cast<int>(i) != Leader()) {
-            cuts_.push_back({NodeName(i), t.whom, now_ + t.span, t.resets});
+          if (static_cast<int>(i) != LeaderIndex()) {
+            partitions_.push_back({NodeName(i), t.whom, now_ + t.span, t.resets});
           }
         }
         return;
       }
       const auto host = [&](const std::string& who) {
-        return who == "leader" ? NodeName(static_cast<size_t>(std::max(Leader(), 0))) : who;
+        return who == "leader" ? NodeName(static_cast<size_t>(std::max(LeaderIndex(), 0))) : who;
       };
-      cuts_.push_back({host(t.who), host(t.whom), now_ + t.span, t.resets});
+      partitions_.push_back({host(t.who), host(t.whom), now_ + t.span, t.resets});
       return;
     }
     case Kind::kMachinesFail:
       return each_machine([&](const std::string& id) {
-        workers_.at(id).sick = true;
-        Later(now_ + t.span, [this, id] {
-          if (workers_.contains(id)) workers_.at(id).sick = false;
+        workers_.at(id).fails_tasks = true;
+        Schedule(now_ + t.span, [this, id] {
+          if (workers_.contains(id)) workers_.at(id).fails_tasks = false;
         });
       });
     case Kind::kMachinesDie:
-      return each_machine([&](const std::string& id) { MachineGone(id); });
+      return each_machine([&](const std::string& id) { OnMachineGone(id); });
   }
 }
 
--- a/src/rehearsal/waiting.cpp
+++ b/src/rehearsal/waiting.cpp
@@ -4,34 +4,35 @@
 
 namespace badgershore::rehearsal {
 
-std::vector<std::string> Waiting::See(Micros now, const std::vector<Job>& jobs,
-                                      const std::vector<Machine>& machines) {
-  std::vector<std::string> left;
-  std::map<std::string, Since> still;
+std::vector<std::string> StarvationDetector::Update(Micros now, const std::vector<Job>& jobs,
+                                                    const std::vector<Machine>& machines) {
+  std::vector<std::string> starved;
+  std::map<std::string, Wait> waits;
   for (const Job& job : jobs) {
     if (!job.under_limit) continue;
-    const auto known = since_.find(job.id);
-    const bool before = known != since_.end() && known->second.starts == job.starts;
-    Since seen{before ? known->second.at : now, job.starts, {}};
-    std::map<std::string, int64_t> holds;  // by zone, or all of them together
+    const auto previous = waits_.find(job.id);
+    const bool continues = previous != waits_.end() && previous->second.starts == job.starts;
+    Wait wait{continues ? previous->second.since : now, job.starts, {}};
+    std::map<std::string, int64_t> capacity;  // by zone, or all of them together
     for (const Machine& m : machines) {
-      if ((m.spot && !job.spot_ok) || (before && !known->second.machines.contains(m.id))) continue;
-      const int64_t n = m.free.Holds(job.need);
-      if (n <= 0) continue;
-      seen.machines.insert(m.id);
-      holds[job.same_zone ? m.zone : ""] += n;
+      if ((m.spot && !job.spot_ok) || (continues && !previous->second.machines.contains(m.id)))
+        continue;
+      const int64_t count = m.free.Holds(job.need);
+      if (count <= 0) continue;
+      wait.machines.insert(m.id);
+      capacity[job.same_zone ? m.zone : ""] += count;
     }
-    const bool room = std::any_of(holds.begin(), holds.end(),
+    const bool room = std::any_of(capacity.begin(), capacity.end(),
                                   [&](const auto& zone) { return zone.second >= job.tasks; });
     if (!room) continue;  // the wait restarts at the next call, with the machines of that time
-    if (now - seen.at >= kTooLong) {
-      left.push_back(job.id);
-      seen.at = now;
+    if (now - wait.since >= kMaxWait) {
+      starved.push_back(job.id);
+      wait.since = now;
     }
-    still[job.id] = std::move(seen);
+    waits[job.id] = std::move(wait);
   }
-  since_ = std::move(still);
-  return left;
+  waits_ = std::move(waits);
+  return starved;
 }
 
 }  // namespace badgershore::rehearsal
--- a/src/rehearsal/waiting.h
+++ b/src/rehearsal/waiting.h
@@ -13,7 +13,7 @@
 
 namespace badgershore::rehearsal {
 
-class Waiting {
+class StarvationDetector {
  public:
   struct Job {
     std::string id;
@@ -28,18 +28,18 @@
     Resources free;
     bool spot = false;
   };
-  // Returns the ids of jobs that have now waited for kTooLong.
-  std::vector<std::string> See(Micros now, const std::vector<Job>& jobs,
-                               const std::vector<Machine>& machines);
+  // Returns the ids of jobs that have now waited for kMaxWait.
+  std::vector<std::string> Update(Micros now, const std::vector<Job>& jobs,
+                                  const std::vector<Machine>& machines);
 
  private:
-  static constexpr Micros kTooLong = Seconds(90);
-  struct Since {
-    Micros at;
+  static constexpr Micros kMaxWait = Seconds(90);
+  struct Wait {
+    Micros since;
     int starts = 0;
     std::set<std::string> machines;  // with room for a task at every call
   };
-  std::map<std::string, Since> since_;  // by job
+  std::map<std::string, Wait> waits_;  // by job
 };
 
 }  // namespace badgershore::rehearsal
--- a/src/rehearsal/work.cpp
+++ b/src/rehearsal/work.cpp
@@ -2,58 +2,59 @@
 
 namespace badgershore::rehearsal {
 
-Micros Work::Checkpoint(const Job& job, Micros progress) const {
+Micros TaskEmulator::LastCheckpoint(const Job& job, Micros progress) const {
   const int64_t every = job.spec.checkpoint_interval.count;
   return {every > 0 ? progress.count / every * every : 0};
 }
 
-void Work::Finish(Job* job, const TaskKey& task) {
+void TaskEmulator::CompleteTask(Job* job, const TaskKey& task) {
   if (!job->done.insert(task.ref.task).second) return;
   useful_cpu_s_ += job->run.ToSeconds() * static_cast<double>(job->spec.need.cpu) / 1000;
   hooks_.done(task);
 }
 
-void Work::Launch(const std::string& machine, const TaskKey& task, bool sick) {
+void TaskEmulator::Launch(const std::string& machine, const TaskKey& task, bool machine_fails) {
   Job& job = jobs_.at(task.ref.job);
   const Micros now = hooks_.now();
   const auto exit = [this, machine, task](ExitReason cause) {
     return [this, machine, task, cause] { hooks_.exit(machine, task, cause, false); };
   };
-  const bool fails = (task.ref.task * 7919 + 13) % 1000 < job.mistake * 1000;
-  if (sick || fails) return hooks_.later(now + Millis(300), exit(ExitReason::kError));
+  const bool fails = (task.ref.task * 7919 + 13) % 1000 < job.failing_share * 1000;
+  if (machine_fails || fails) return hooks_.later(now + Millis(300), exit(ExitReason::kError));
   if (job.done.contains(task.ref.task)) return hooks_.later(now, exit(ExitReason::kDone));
-  const double pace = 0.9 + 0.2 * Chance();
+  const double pace = 0.9 + 0.2 * RandomFraction();
   if (job.spec.kind != JobKind::kGang) {
     const uint64_t serial = ++serial_;
     job.running[task] = {machine, now, serial};
-    const Micros left = job.run.Scaled(pace) - job.saved[task.ref.task];
+    const Micros left = job.run.Scaled(pace) - job.saved_progress[task.ref.task];
     return hooks_.later(now + std::max(left, Millis(1)), [this, &job, task, serial, exit] {
       auto it = job.running.find(task);
       if (it == job.running.end() || it->second.serial != serial) return;
       job.running.erase(it);
-      Finish(&job, task);
+      CompleteTask(&job, task);
       exit(ExitReason::kDone)();
     });
   }
   Gang& gang = job.gangs[task.attempt];
   gang.members[task.ref.task] = {machine, false, {}};
-  if (gang.broken || gang.running || static_cast<int>(gang.members.size()) < job.spec.tasks) return;
+  if (gang.failed || gang.running || static_cast<int>(gang.members.size()) < job.spec.tasks) return;
   gang.running = true;
-  gang.since = now;
+  gang.started_at = now;
   gang.serial = ++serial_;
   for (const auto& [index, member] : gang.members) {
     hooks_.gang_complete(member.machine, {{task.ref.job, index}, task.attempt});
   }
-  const Micros left = std::max(job.run.Scaled(pace) - job.saved[0], Millis(1));
+  const Micros left = std::max(job.run.Scaled(pace) - job.saved_progress[0], Millis(1));
   hooks_.later(now + left, [this, &job, attempt = task.attempt, serial = gang.serial] {
     auto it = job.gangs.find(attempt);
-    if (it == job.gangs.end() || it->second.serial != serial || it->second.broken ||
+    if (it == job.gangs.end() || it->second.serial != serial || it->second.failed ||
         it->second.stopping) {
       return;
     }
     const Gang gone = std::move(it->second);
     job.gangs.erase(it);
-    for (const auto& [index, member] : gone.members) Finish(&job, {{job.spec.id, index}, attempt});
+    for (const auto& [index, member] : gone.members)
+      CompleteTask(&job, {{job.spec.id, index}, attempt});
     for (const auto& [index, member] : gone.members) {
       hooks_.exit(member.machine, {{job.spec.id, index}, attempt}, ExitReason::kDone, false);
     }
@@ -62,87 +63,91 @@
 
 // Ends a running gang that has lost a member or was not stopped as a whole: the other members exit
 // within the gang failure timeout.
-void Work::Break(Job* job, uint64_t attempt) {
+void TaskEmulator::FailGang(Job* job, uint64_t attempt) {
   Gang& gang = job->gangs[attempt];
-  if (std::exchange(gang.broken, true) || !gang.running) return;
-  const Micros progress = hooks_.now() - gang.since + job->saved[0];
-  if (!gang.stopping) job->saved[0] = std::max(job->saved[0], Checkpoint(*job, progress));
-  const Micros by = hooks_.now() + scenario_.site.gang_failure_timeout.Scaled(0.2 + 0.7 * Chance());
+  if (std::exchange(gang.failed, true) || !gang.running) return;
+  const Micros progress = hooks_.now() - gang.started_at + job->saved_progress[0];
+  if (!gang.stopping)
+    job->saved_progress[0] = std::max(job->saved_progress[0], LastCheckpoint(*job, progress));
+  const Micros by =
+      hooks_.now() + scenario_.site.gang_failure_timeout.Scaled(0.2 + 0.7 * RandomFraction());
   hooks_.later(by, [this, job, attempt] {
     const Gang gone = std::move(job->gangs[attempt]);
     job->gangs.erase(attempt);
     for (const auto& [index, member] : gone.members) {
       hooks_.exit(member.machine, {{job->spec.id, index}, attempt},
-                  member.saving ? ExitReason::kStopped : ExitReason::kGangMemberLost, false);
+                  member.checkpointing ? ExitReason::kStopped : ExitReason::kGangMemberLost, false);
     }
   });
 }
 
-void Work::Kill(const TaskKey& task) {
+void TaskEmulator::Kill(const TaskKey& task) {
   auto found = jobs_.find(task.ref.job);
   if (found == jobs_.end()) return;
   Job& job = found->second;
   if (auto it = job.running.find(task); it != job.running.end()) {
-    const Micros progress = hooks_.now() - it->second.since + job.saved[task.ref.task];
-    job.saved[task.ref.task] = std::max(job.saved[task.ref.task], Checkpoint(job, progress));
+    const Micros progress =
+        hooks_.now() - it->second.started_at + job.saved_progress[task.ref.task];
+    job.saved_progress[task.ref.task] =
+        std::max(job.saved_progress[task.ref.task], LastCheckpoint(job, progress));
     job.running.erase(it);
     return;
   }
   auto gang = job.gangs.find(task.attempt);
   if (gang == job.gangs.end() || gang->second.members.erase(task.ref.task) == 0) return;
-  if (gang->second.running) Break(&job, task.attempt);
+  if (gang->second.running) FailGang(&job, task.attempt);
 }
 
-void Work::Save(const std::string& machine, const TaskKey& task) {
+void TaskEmulator::SaveCheckpoint(const std::string& machine, const TaskKey& task) {
   Job& job = jobs_.at(task.ref.job);
   const Micros now = hooks_.now();
   if (auto it = job.running.find(task); it != job.running.end()) {
-    const Micros progress = now - it->second.since + job.saved[task.ref.task];
+    const Micros progress = now - it->second.started_at + job.saved_progress[task.ref.task];
     const uint64_t serial = it->second.serial = ++serial_;  // cancels the scheduled completion
-    return hooks_.later(now + job.spec.checkpoint_duration,
-                        [this, &job, machine, task, serial, progress] {
-                          auto it = job.running.find(task);
-                          if (it == job.running.end() || it->second.serial != serial) return;
-                          job.running.erase(it);
-                          job.saved[task.ref.task] = std::max(job.saved[task.ref.task], progress);
-                          hooks_.exit(machine, task, ExitReason::kStopped, true);
-                        });
+    return hooks_.later(
+        now + job.spec.checkpoint_duration, [this, &job, machine, task, serial, progress] {
+          auto it = job.running.find(task);
+          if (it == job.running.end() || it->second.serial != serial) return;
+          job.running.erase(it);
+          job.saved_progress[task.ref.task] = std::max(job.saved_progress[task.ref.task], progress);
+          hooks_.exit(machine, task, ExitReason::kStopped, true);
+        });
   }
   auto it = job.gangs.find(task.attempt);
   if (it == job.gangs.end() || !it->second.members.contains(task.ref.task)) return;
   Gang& gang = it->second;
-  gang.members[task.ref.task].saving = true;
-  gang.members[task.ref.task].saved_at = now + job.spec.checkpoint_duration;
-  if (gang.broken) return;
+  gang.members[task.ref.task].checkpointing = true;
+  gang.members[task.ref.task].checkpoint_done_at = now + job.spec.checkpoint_duration;
+  if (gang.failed) return;
   const auto alive = [&job, attempt = task.attempt]() -> Gang* {
     auto g = job.gangs.find(attempt);
-    return g == job.gangs.end() || g->second.broken ? nullptr : &g->second;
+    return g == job.gangs.end() || g->second.failed ? nullptr : &g->second;
   };
   if (!std::exchange(gang.stopping, true)) {
     // All members must be told within the gang failure timeout, or the gang falls back to its last
     // periodic checkpoint.
-    const Micros progress = now - gang.since + job.saved[0];
-    hooks_.later(now + scenario_.site.gang_failure_timeout,
-                 [this, &job, alive, attempt = task.attempt, progress] {
-                   Gang* g = alive();
-                   if (!g) return;
-                   for (const auto& [index, member] : g->members) {
-                     if (member.saving) continue;
-                     job.saved[0] = std::max(job.saved[0], Checkpoint(job, progress));
-                     return Break(&job, attempt);
-                   }
-                 });
-    gang.progress = progress;
+    const Micros progress = now - gang.started_at + job.saved_progress[0];
+    hooks_.later(now + scenario_.site.gang_failure_timeout, [this, &job, alive,
+                                                             attempt = task.attempt, progress] {
+      Gang* g = alive();
+      if (!g) return;
+      for (const auto& [index, member] : g->members) {
+        if (member.checkpointing) continue;
+        job.saved_progress[0] = std::max(job.saved_progress[0], LastCheckpoint(job, progress));
+        return FailGang(&job, attempt);
+      }
+    });
+    gang.stop_progress = progress;
   }
   Micros ready = now;
   for (const auto& [index, member] : gang.members) {
-    if (!member.saving) return;
-    ready = std::max(ready, member.saved_at);
+    if (!member.checkpointing) return;
+    ready = std::max(ready, member.checkpoint_done_at);
   }
   hooks_.later(ready, [this, &job, alive, attempt = task.attempt] {
     Gang* g = alive();
     if (!g) return;
-    job.saved[0] = std::max(job.saved[0], g->progress);
+    job.saved_progress[0] = std::max(job.saved_progress[0], g->stop_progress);
     const Gang gone = std::move(*g);
     job.gangs.erase(attempt);
     for (const auto& [index, member] : gone.members) {
--- a/src/rehearsal/work.h
+++ b/src/rehearsal/work.h
@@ -15,7 +15,7 @@
 
 using config::Scenario;
 
-class Work {
+class TaskEmulator {
  public:
   struct Hooks {
     std::function<Micros()> now;
@@ -25,53 +25,53 @@
     std::function<void(const std::string& machine, const TaskKey&, ExitReason, bool saved)> exit;
     std::function<void(const TaskKey&)> done;  // called before `exit`
   };
-  Work(const Scenario& scenario, uint64_t seed, Hooks hooks)
+  TaskEmulator(const Scenario& scenario, uint64_t seed, Hooks hooks)
       : scenario_(scenario), random_(seed), hooks_(std::move(hooks)) {}
 
-  // `mistake`: the share of its tasks that fail on every machine.
-  void AddJob(const JobSpec& spec, Micros run, double mistake) {
-    jobs_[spec.id] = Job{spec, run, mistake, {}, {}, {}, {}};
+  // `failing_share`: the share of its tasks that fail on every machine.
+  void AddJob(const JobSpec& spec, Micros run, double failing_share) {
+    jobs_[spec.id] = Job{spec, run, failing_share, {}, {}, {}, {}};
   }
-  const JobSpec* Find(const std::string& job) const {
+  const JobSpec* FindJob(const std::string& job) const {
     auto it = jobs_.find(job);
     return it == jobs_.end() ? nullptr : &it->second.spec;
   }
-  // `sick`: every task that this machine starts fails.
-  void Launch(const std::string& machine, const TaskKey& task, bool sick);
-  void Save(const std::string& machine, const TaskKey& task);
+  // `machine_fails`: every task that this machine starts fails.
+  void Launch(const std::string& machine, const TaskKey& task, bool machine_fails);
+  void SaveCheckpoint(const std::string& machine, const TaskKey& task);
   void Kill(const TaskKey& task);  // ends it at once; its last periodic checkpoint is kept
   double useful_cpu_s() const { return useful_cpu_s_; }
 
  private:
   struct Member {
     std::string machine;
-    bool saving = false;
-    Micros saved_at;
+    bool checkpointing = false;
+    Micros checkpoint_done_at;
   };
   struct Gang {  // of one attempt
     std::map<int, Member> members;
-    bool running = false, broken = false, stopping = false;
-    Micros since, progress;  // progress: at the time the first member was told to stop
+    bool running = false, failed = false, stopping = false;
+    Micros started_at, stop_progress;  // stop_progress: when the first member was told to stop
     uint64_t serial = 0;
   };
-  struct Running {
+  struct RunningTask {
     std::string machine;
-    Micros since;
+    Micros started_at;
     uint64_t serial = 0;
   };
   struct Job {
     JobSpec spec;
     Micros run;
-    double mistake = 0;
+    double failing_share = 0;
     std::set<int> done;
-    std::map<int, Micros> saved;  // array task -> saved progress; a gang's is under 0
-    std::map<TaskKey, Running> running;
+    std::map<int, Micros> saved_progress;  // array task -> saved progress; a gang's is under 0
+    std::map<TaskKey, RunningTask> running;
     std::map<uint64_t, Gang> gangs;
   };
-  Micros Checkpoint(const Job& job, Micros progress) const;
-  void Finish(Job* job, const TaskKey& task);
-  void Break(Job* job, uint64_t attempt);
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  Micros LastCheckpoint(const Job& job, Micros progress) const;
+  void CompleteTask(Job* job, const TaskKey& task);
+  void FailGang(Job* job, uint64_t attempt);
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   const Scenario& scenario_;
   std::mt19937_64 random_;
--- a/src/scale/core/report.cpp
+++ b/src/scale/core/report.cpp
@@ -113,7 +113,7 @@
   w.Put("report_p50_ms", r.report_p50_ms).Put("report_p99_ms", r.report_p99_ms);
   w.Put("most_memory_mb", r.most_memory_mb).Put("most_processes", r.most_processes);
   w.Put("done", r.done).Put("open", r.open).Key("broken").BeginList();
-  for (const rehearsal::Broken& b : r.broken) {
+  for (const rehearsal::Violation& b : r.broken) {
     w.Begin().Put("rule", b.rule).Put("at_s", b.at_s).Put("detail", b.detail).End();
   }
   return w.EndList().Put("stopped", r.stopped).Put("clean", r.clean()).End().Done();
@@ -152,7 +152,7 @@
       r.answer_p50_ms, r.answer_p99_ms, r.report_p50_ms, r.report_p99_ms, r.most_memory_mb,
       r.most_processes);
   size_t shown = 0;
-  for (const rehearsal::Broken& b : r.broken) {
+  for (const rehearsal::Violation& b : r.broken) {
     if (++shown > kBrokenShown) break;
     out += "broken: " + b.rule + Line(" at %.3f s: ", b.at_s) + b.detail + "\n";
   }
--- a/src/scale/core/report.h
+++ b/src/scale/core/report.h
@@ -64,7 +64,7 @@
   double report_p50_ms = 0, report_p99_ms = 0;  // workers' reports
   double most_memory_mb = 0;
   int done = 0, open = 0;
-  std::vector<rehearsal::Broken> broken;
+  std::vector<rehearsal::Violation> broken;
   std::string stopped;  // why the run ended early; empty: it did not
 
   bool clean() const { return broken.empty() && open == 0 && stopped.empty(); }
--- a/src/scale/core/start_times.cpp
+++ b/src/scale/core/start_times.cpp
@@ -19,12 +19,12 @@
   if (first_us_ < 0) first_us_ = event.at_us;
   switch (event.kind) {
     case Event::Kind::kSubmitted:
-      jobs_[event.job] = {event.facts.lane, event.facts.tasks, event.at_us, {}};
-      ++lanes_[event.facts.lane].submitted;
+      jobs_[event.job] = {event.facts.job_class, event.facts.tasks, event.at_us, {}};
+      ++lanes_[event.facts.job_class].submitted;
       return;
-    case Event::Kind::kTaskOn:
+    case Event::Kind::kTaskStarted:
       return Started(event);
-    case Event::Kind::kTaskOff:
+    case Event::Kind::kTaskExited:
       --running_;
       return;
     default:
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -125,8 +125,8 @@
     if (usage) sample.processes[site_->ProcessName(child)] = SampleOf(*usage);
   }
   if (const auto own = ReadUsage(::getpid())) sample.processes["hollow"] = SampleOf(*own);
-  sample.reports = site_->report_traffic().requests;
-  sample.report_bytes = site_->report_traffic().sent + site_->report_traffic().received;
+  sample.reports = site_->heartbeat_traffic().requests;
+  sample.report_bytes = site_->heartbeat_traffic().sent + site_->heartbeat_traffic().received;
   sample.starts = start_times_.starts();
   for (size_t node = 0; node < site_->node_addresses().size(); ++node) {
     const std::string text = co_await Fetch(site_->node_addresses()[node], "/metrics");
@@ -214,7 +214,7 @@
 }
 
 Report Run::Summary() {
-  const rehearsal::Result result = site_->world().End();
+  const rehearsal::Result result = site_->world().FinishRun();
   Report report;
   report.plan = plan_.name;
   report.workers = plan_.workers;
@@ -229,15 +229,15 @@
     report.phases.push_back(Between(samples_[i - 1], samples_[i], plan_.workers));
   }
   for (const auto& [lane, times] : start_times_.lanes()) report.waits[lane] = WaitOf(times);
-  report.answer_p50_ms = site_->user_traffic().waits.Quantile(0.5) * 1000;
-  report.answer_p99_ms = site_->user_traffic().waits.Quantile(0.99) * 1000;
-  report.report_p50_ms = site_->report_traffic().waits.Quantile(0.5) * 1000;
-  report.report_p99_ms = site_->report_traffic().waits.Quantile(0.99) * 1000;
+  report.answer_p50_ms = site_->user_traffic().latencies.Quantile(0.5) * 1000;
+  report.answer_p99_ms = site_->user_traffic().latencies.Quantile(0.99) * 1000;
+  report.report_p50_ms = site_->heartbeat_traffic().latencies.Quantile(0.5) * 1000;
+  report.report_p99_ms = site_->heartbeat_traffic().latencies.Quantile(0.99) * 1000;
   report.most_memory_mb = most_memory_mb_;
   report.most_processes = most_processes_;
   report.done = result.done;
   report.open = result.open;
-  report.broken = result.broken;
+  report.broken = result.violations;
   report.broken.insert(report.broken.end(), process_ends_.begin(), process_ends_.end());
   report.stopped = stopped_;
   return report;
--- a/src/scale/run.h
+++ b/src/scale/run.h
@@ -44,7 +44,7 @@
   std::unique_ptr<rehearsal::Site> site_;
   StartTimes start_times_;
   std::vector<Sample> samples_;
-  std::vector<rehearsal::Broken> process_ends_;
+  std::vector<rehearsal::Violation> process_ends_;
   Micros began_;
   double most_memory_mb_ = 0;
   int most_processes_ = 0;
--- a/tests/election_model_test.cpp
+++ b/tests/election_model_test.cpp
@@ -12,41 +12,42 @@
 namespace {
 
 template <typename Model>
-Outcome ExploredWorld(const Model& world, uint64_t states, const char* what) {
-  Outcome out = Explore(world, states);
-  std::cout << what << ": " << out.states << " states, " << out.steps << " steps, depth "
-            << out.depth << (out.whole ? ", all" : "") << "\n";
+ExplorationResult ExploreAndPrint(const Model& world, uint64_t max_states, const char* label) {
+  ExplorationResult out = Explore(world, max_states);
+  std::cout << label << ": " << out.states << " states, " << out.steps << " steps, depth "
+            << out.depth << (out.complete ? ", all" : "") << "\n";
   for (const std::string& event : out.path) std::cout << "  " << event << "\n";
   return out;
 }
 
-Outcome Explored(const ElectionPlan& plan, uint64_t states, const char* what) {
-  return ExploredWorld(ElectionModel(plan), states, what);
+ExplorationResult ExploreElection(const ElectionPlan& plan, uint64_t max_states,
+                                  const char* label) {
+  return ExploreAndPrint(ElectionModel(plan), max_states, label);
 }
 
 TEST(ElectionModel, OnlyOneNodeMayStartTasksUnderDelaysLossesAndRestarts) {
   ElectionPlan plan;
   plan.nodes = 2;
-  plan.times = 8;
-  EXPECT_EQ(Explored(plan, 150000, "two nodes").broken, "");
+  plan.time_steps = 8;
+  EXPECT_EQ(ExploreElection(plan, 150000, "two nodes").violation, "");
   plan.nodes = 3;
-  EXPECT_EQ(Explored(plan, 100000, "three nodes").broken, "");
+  EXPECT_EQ(ExploreElection(plan, 100000, "three nodes").violation, "");
 }
 
 TEST(ElectionModel, FindsInjectedFaults) {
   ElectionPlan plan;
   plan.nodes = 2;
-  plan.times = 8;
-  plan.retires = plan.losses = 0;
+  plan.time_steps = 8;
+  plan.handovers = plan.losses = 0;
   for (const auto& [fault, name] :
-       {std::pair{PlantedInLease::kSlowClock, "a slow clock"},
-        {PlantedInLease::kEarlyEnd, "a lease that ends early"},
-        {PlantedInLease::kNoGuards, "commits without preconditions"},
-        {PlantedInLease::kLeaseOfName, "a lease that is shared with the previous run"}}) {
-    plan.planted = fault;
+       {std::pair{ElectionFault::kSlowClock, "a slow clock"},
+        {ElectionFault::kEarlyExpiry, "a lease that ends early"},
+        {ElectionFault::kIgnoredPreconditions, "commits without preconditions"},
+        {ElectionFault::kReusedLeaseId, "a lease that is shared with the previous run"}}) {
+    plan.fault = fault;
     // The last fault needs a restart with a request that is executed after it.
-    plan.ends = fault == PlantedInLease::kLeaseOfName ? 1 : 0;
-    EXPECT_NE(Explored(plan, 60000, name).broken, "") << name;
+    plan.restarts = fault == ElectionFault::kReusedLeaseId ? 1 : 0;
+    EXPECT_NE(ExploreElection(plan, 60000, name).violation, "") << name;
   }
 }
 
@@ -54,51 +55,53 @@
 // could not know of the cancellation kept renewing the agent's lease.
 TEST(CancelModel, NoCancelledTaskRunsOrStartsAfterTheDeadline) {
   CancelPlan plan;
-  plan.troubles = 1;
-  const Outcome out = ExploredWorld(CancelModel(plan), 100000, "without earlier events");
-  EXPECT_EQ(out.broken, "");
-  EXPECT_TRUE(out.whole);
+  plan.faults = 1;
+  const ExplorationResult out =
+      ExploreAndPrint(CancelModel(plan), 100000, "without earlier events");
+  EXPECT_EQ(out.violation, "");
+  EXPECT_TRUE(out.complete);
   for (const std::vector<std::string>& first : {std::vector<std::string>{"refuse a", "cancel"},
                                                 {"hang a", "second", "cancel"},
                                                 {"refuse a", "hang b", "cancel"}}) {
-    plan.first = first;
-    plan.troubles = 2;
-    EXPECT_EQ(ExploredWorld(CancelModel(plan), 30000, first[0].c_str()).broken, "");
+    plan.initial_events = first;
+    plan.faults = 2;
+    EXPECT_EQ(ExploreAndPrint(CancelModel(plan), 30000, first[0].c_str()).violation, "");
   }
 }
 
 TEST(CancelModel, FindsInjectedFaults) {
   struct Fault {
-    PlantedInAuthority planted;
-    int troubles;
-    std::vector<std::string> first;
+    AuthorityFault fault;
+    int faults;
+    std::vector<std::string> initial_events;
     const char* name;
   };
-  const std::vector<Fault> faults = {{PlantedInAuthority::kRenewalIsKnowledge,
+  const std::vector<Fault> faults = {{AuthorityFault::kCountFromRenewal,
                                       1,
                                       {},
                                       "records counted as current since the lease renewal"},
-                                     {PlantedInAuthority::kUnreadAnswers,
+                                     {AuthorityFault::kAnswerBeforeRead,
                                       1,
                                       {"refuse a", "cancel", "hang b", "second", "second"},
                                       "responses before the job records are read"},
-                                     {PlantedInAuthority::kArrivalIsKnowledge,
+                                     {AuthorityFault::kCountFromArrival,
                                       2,
                                       {"hang a", "second", "cancel", "second", "second", "second"},
                                       "records counted as current since the response's arrival"},
-                                     {PlantedInAuthority::kNoHaltInGreeting,
+                                     {AuthorityFault::kNoStopInFirstResponse,
                                       2,
                                       {"refuse a", "cancel", "second", "second", "second"},
                                       "a first response that stops no task"}};
   for (const Fault& f : faults) {
     CancelPlan plan;
-    plan.planted = f.planted;
-    plan.troubles = f.troubles;
-    plan.first = f.first;
-    EXPECT_NE(ExploredWorld(CancelModel(plan), 60000, f.name).broken, "") << f.name;
+    plan.fault = f.fault;
+    plan.faults = f.faults;
+    plan.initial_events = f.initial_events;
+    EXPECT_NE(ExploreAndPrint(CancelModel(plan), 60000, f.name).violation, "") << f.name;
     // The same start without the fault.
-    plan.planted = PlantedInAuthority::kNone;
-    EXPECT_EQ(ExploredWorld(CancelModel(plan), 20000, "without the fault").broken, "") << f.name;
+    plan.fault = AuthorityFault::kNone;
+    EXPECT_EQ(ExploreAndPrint(CancelModel(plan), 20000, "without the fault").violation, "")
+        << f.name;
   }
 }
 
--- a/tests/kept_scenario_test.cpp
+++ b/tests/kept_scenario_test.cpp
@@ -75,15 +75,16 @@
 TEST_P(KeptScenario, HasNoViolationAndTheSameFinalStatesWithEverySeed) {
   const config::Scenario scenario =
       config::LoadScenario(std::string(BADGERSHORE_SCENARIOS) + "/" + GetParam() + ".yaml");
-  std::map<std::string, std::string> ends;
+  std::map<std::string, std::string> expected;
   for (uint64_t seed = 1; seed <= 3; ++seed) {
-    const Result r = rehearsal::Play(scenario, seed);
+    const Result r = rehearsal::Simulate(scenario, seed);
     EXPECT_EQ(r.open, 0) << "seed " << seed;
-    for (const Broken& b : r.broken) ADD_FAILURE() << seed << " " << b.rule << " " << b.detail;
+    for (const Violation& violation : r.violations)
+      ADD_FAILURE() << seed << " " << violation.rule << " " << violation.detail;
     std::map<std::string, std::string> final_states = r.final_states;
     for (const std::string& id : scenario.either) final_states[id] = "either";
-    if (seed == 1) ends = final_states;
-    EXPECT_EQ(final_states, ends) << "seed " << seed;
+    if (seed == 1) expected = final_states;
+    EXPECT_EQ(final_states, expected) << "seed " << seed;
   }
 }
 INSTANTIATE_TEST_SUITE_P(Scenarios, KeptScenario, testing::ValuesIn(KeptScenario::Names()),
@@ -96,14 +97,14 @@
 // scenarios/ holds only scenarios that `run` plays, each listed above; the site of `up` is built
 // in. Guards against a site definition in that folder that no run could finish.
 TEST(Scenario, EveryKeptFileIsRunAndTheBuiltInSiteIsValid) {
-  const auto& played = KeptScenario::Names();
-  size_t kept = 0;
+  const auto& listed = KeptScenario::Names();
+  size_t count = 0;
   for (const auto& f : std::filesystem::directory_iterator(BADGERSHORE_SCENARIOS)) {
     if (f.path().extension() != ".yaml") continue;
-    ++kept;
-    EXPECT_NE(std::find(played.begin(), played.end(), f.path().stem()), played.end()) << f.path();
+    ++count;
+    EXPECT_NE(std::find(listed.begin(), listed.end(), f.path().stem()), listed.end()) << f.path();
   }
-  EXPECT_EQ(kept, played.size());
+  EXPECT_EQ(count, listed.size());
   EXPECT_FALSE(config::SmallSite().types.empty());
 }
 
@@ -111,8 +112,9 @@
   constexpr uint64_t kSeedWithALongQueueAtTheLimit = 7038;
   const config::Scenario scenario =
       config::LoadScenario(std::string(BADGERSHORE_SCENARIOS) + "/limits-hang-and-cut.yaml");
-  for (const Broken& b : rehearsal::Play(scenario, kSeedWithALongQueueAtTheLimit).broken) {
-    ADD_FAILURE() << b.rule << " " << b.detail;
+  for (const Violation& violation :
+       rehearsal::Simulate(scenario, kSeedWithALongQueueAtTheLimit).violations) {
+    ADD_FAILURE() << violation.rule << " " << violation.detail;
   }
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -12,7 +12,7 @@
 
 using check::LimitsModel;
 using check::LimitsPlan;
-using check::Planted;
+using check::QuotaFault;
 using limits::kLimitCpu;
 using limits::kUnlimited;
 using limits::QuotaLedger;
@@ -196,10 +196,10 @@
   EXPECT_LE(cells.Sum(), kWhole);
 }
 
-check::Outcome Explore(const LimitsPlan& plan, uint64_t states, const char* what) {
-  check::Outcome out = check::Explore(LimitsModel(plan), states);
+check::ExplorationResult Explore(const LimitsPlan& plan, uint64_t states, const char* what) {
+  check::ExplorationResult out = check::Explore(LimitsModel(plan), states);
   std::cout << what << ": " << out.states << " states, " << out.steps << " steps, depth "
-            << out.depth << (out.whole ? ", all" : "") << "\n";
+            << out.depth << (out.complete ? ", all" : "") << "\n";
   for (const std::string& event : out.path) std::cout << "  " << event << "\n";
   return out;
 }
@@ -208,32 +208,32 @@
 TEST(LimitsModel, NoOrderOfEventsPassesALimit) {
   LimitsPlan two;
   two.cells = 2;
-  two.whole = 3;
+  two.limit = 3;
   two.crashes = 0;
   two.transfers = 1;
-  const check::Outcome all = Explore(two, 200000, "two cells, a restore, a late note");
-  EXPECT_EQ(all.broken, "");
-  EXPECT_TRUE(all.whole);
+  const check::ExplorationResult all = Explore(two, 200000, "two cells, a restore, a late note");
+  EXPECT_EQ(all.violation, "");
+  EXPECT_TRUE(all.complete);
   two.crashes = 1;
   two.transfers = 2;
-  EXPECT_EQ(Explore(two, 60000, "two cells, a crash too").broken, "");
+  EXPECT_EQ(Explore(two, 60000, "two cells, a crash too").violation, "");
   LimitsPlan three;
   three.teams = 2;
-  EXPECT_EQ(Explore(three, 40000, "three cells, two teams").broken, "");
+  EXPECT_EQ(Explore(three, 40000, "three cells, two teams").violation, "");
 }
 
 // What the exploration can find: each fault is planted around the pure machine.
 TEST(LimitsModel, PlantedFaultsAreFound) {
   LimitsPlan plan;
   plan.cells = 2;
-  plan.whole = 4;
+  plan.limit = 4;
   plan.transfers = 1;
-  for (const auto& [fault, name] : {std::pair{Planted::kUseBeforeRecord, "use before record"},
-                                    {Planted::kForgetAfterSend, "forget after send"},
-                                    {Planted::kApplyTwice, "apply twice"},
-                                    {Planted::kTrustOldCopy, "trust an old copy"}}) {
-    plan.planted = fault;
-    EXPECT_NE(Explore(plan, 200000, name).broken, "") << name;
+  for (const auto& [fault, name] : {std::pair{QuotaFault::kUseBeforeRecord, "use before record"},
+                                    {QuotaFault::kSendBeforeRecord, "forget after send"},
+                                    {QuotaFault::kApplyTwice, "apply twice"},
+                                    {QuotaFault::kTrustOldBackup, "trust an old copy"}}) {
+    plan.fault = fault;
+    EXPECT_NE(Explore(plan, 200000, name).violation, "") << name;
   }
 }
 
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -7,20 +7,20 @@
 namespace badgershore::replication {
 namespace {
 
-using check::Outcome;
-using check::PlantedInReplication;
+using check::ExplorationResult;
+using check::ReplicationFault;
 using check::ReplicationPlan;
 
-Outcome WalkThrough(const ReplicationPlan& plan, uint64_t walks) {
-  return check::Walk([&] { return check::ReplicationPlay(plan); }, walks, 160, 1);
+ExplorationResult WalkThrough(const ReplicationPlan& plan, uint64_t walks) {
+  return check::RunRandomWalks([&] { return check::MakeReplicationModel(plan); }, walks, 160, 1);
 }
 
 ReplicationPlan LongPlan() {
   ReplicationPlan plan;
   plan.proposals = 12;
-  plan.ends = 4;
+  plan.restarts = 4;
   plan.losses = 12;
-  plan.times = 60;
+  plan.time_steps = 60;
   return plan;
 }
 
@@ -28,45 +28,45 @@
   check::ReplicationCoverage seen;
   ReplicationPlan plan = LongPlan();
   plan.coverage = &seen;
-  const Outcome out = WalkThrough(plan, 3000);
+  const ExplorationResult out = WalkThrough(plan, 3000);
   EXPECT_GT(seen.commits, 10000u);
   EXPECT_GT(seen.leaders, 4000u);  // each walk begins with one
   EXPECT_GT(seen.images, 50u);
-  EXPECT_EQ(out.broken, "") << testing::PrintToString(out.path);
+  EXPECT_EQ(out.violation, "") << testing::PrintToString(out.path);
   EXPECT_EQ(out.states, 3000u);
   EXPECT_GT(out.depth, 100);
 }
 
 TEST(ReplicationModel, NoWalkWithALostDiskBreaksIt) {
   ReplicationPlan plan = LongPlan();
-  plan.wipes = 1;
-  const Outcome out = WalkThrough(plan, 2000);
-  EXPECT_EQ(out.broken, "") << testing::PrintToString(out.path);
+  plan.disk_losses = 1;
+  const ExplorationResult out = WalkThrough(plan, 2000);
+  EXPECT_EQ(out.violation, "") << testing::PrintToString(out.path);
 }
 
 TEST(ReplicationModel, NoShortOrderBreaksIt) {
   ReplicationPlan plan;
   plan.proposals = 1;
   plan.losses = 0;
-  plan.times = 3;
-  const Outcome out = check::Explore(check::ReplicationModel(plan), 8000);
-  EXPECT_EQ(out.broken, "") << testing::PrintToString(out.path);
+  plan.time_steps = 3;
+  const ExplorationResult out = check::Explore(check::ReplicationModel(plan), 8000);
+  EXPECT_EQ(out.violation, "") << testing::PrintToString(out.path);
   EXPECT_GE(out.depth, 4);
 }
 
-class Planted : public testing::TestWithParam<PlantedInReplication> {};
+class Planted : public testing::TestWithParam<ReplicationFault> {};
 
 TEST_P(Planted, IsFound) {
   ReplicationPlan plan = LongPlan();
-  plan.planted = GetParam();
-  plan.wipes = GetParam() == PlantedInReplication::kEmptyDiskCounts ? 1 : 0;
-  EXPECT_NE(WalkThrough(plan, 20000).broken, "");
+  plan.fault = GetParam();
+  plan.disk_losses = GetParam() == ReplicationFault::kEmptyDiskIsMember ? 1 : 0;
+  EXPECT_NE(WalkThrough(plan, 20000).violation, "");
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, Planted,
-                         testing::Values(PlantedInReplication::kForgetsState,
-                                         PlantedInReplication::kSlowClock,
-                                         PlantedInReplication::kEmptyDiskCounts));
+                         testing::Values(ReplicationFault::kLosesDurableState,
+                                         ReplicationFault::kSlowClock,
+                                         ReplicationFault::kEmptyDiskIsMember));
 
 constexpr Micros kLease = Seconds(1);
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -47,7 +47,7 @@
 
 Event Submitted(int64_t at_s, const std::string& job, const std::string& lane, int tasks) {
   Event e = At(at_s, Event::Kind::kSubmitted, job);
-  e.facts.lane = lane;
+  e.facts.job_class = lane;
   e.facts.tasks = tasks;
   return e;
 }
@@ -90,11 +90,11 @@
 TEST(StartTimes, WaitsEndWithTheFirstAndTheLastTask) {
   StartTimes times;
   times.See(Submitted(10, "job-1", "batch", 2));
-  times.See(At(12, Event::Kind::kTaskOn, "job-1", 0));
-  times.See(At(13, Event::Kind::kTaskOn, "job-1", 0));  // anew: it is not the second task
+  times.See(At(12, Event::Kind::kTaskStarted, "job-1", 0));
+  times.See(At(13, Event::Kind::kTaskStarted, "job-1", 0));  // anew: it is not the second task
   EXPECT_EQ(times.lanes().at("batch").started_whole, 0);
-  times.See(At(18, Event::Kind::kTaskOn, "job-1", 1));
-  times.See(At(19, Event::Kind::kTaskOff, "job-1", 1));
+  times.See(At(18, Event::Kind::kTaskStarted, "job-1", 1));
+  times.See(At(19, Event::Kind::kTaskExited, "job-1", 1));
   const StartTimes::Lane& lane = times.lanes().at("batch");
   EXPECT_EQ(lane.started_whole, 1);
   EXPECT_NEAR(lane.first_start.Quantile(0.5), 2, 0.15);
