--- a/src/programs/rehearse.cpp
+++ b/src/programs/rehearse.cpp
@@ -81,7 +81,7 @@
   w.Put("final_states_sha256", FinalStatesDigest(scenario, r));
   w.Put("history_sha256", store::Sha256(r.history));
   w.Key("broken").BeginList();
-  for (const auto& b : r.broken) {
+  for (const auto& b : r.violations) {
     w.Begin().Put("rule", b.rule).Put("at_s", b.at_s).Put("detail", b.detail).End();
   }
   w.EndList().Key("waits").Begin();
@@ -93,13 +93,13 @@
   for (const auto& [key, s] : r.service) {
     w.Begin().Put("team", key.first).Put("class", key.second).Put("accepted", s.accepted);
     w.Put("started", s.started).Put("done", s.done).Put("share", s.share());
-    w.Put("largest", s.large).Put("largest_done", s.large_done);
-    w.Put("largest_begun_within_s", s.latest_large_start_s).End();
+    w.Put("largest", s.largest).Put("largest_done", s.largest_done);
+    w.Put("largest_begun_within_s", s.latest_largest_start_s).End();
   }
   w.EndList()
       .Put("latest_cancelled_s", r.latest_cancelled_s)
       .Put("started_cancelled", r.started_cancelled)
-      .Put("crossed", r.crossed)
+      .Put("crossed", r.reordered_responses)
       .Put("price", r.price)
       .Put("wall_s", wall_s)
       .Put("simulated_s", r.simulated_s);
@@ -119,18 +119,18 @@
       "  %.0f s run in %.1f s; price %.2f; cancelled tasks ended within %.1f s, %d started "
       "after their cancellation\n",
       r.simulated_s, wall_s, r.price, r.latest_cancelled_s, r.started_cancelled);
-  for (const std::string& belief : r.beliefs) std::printf("  open: %s\n", belief.c_str());
+  for (const std::string& view : r.leader_views) std::printf("  open: %s\n", view.c_str());
   size_t shown = 0;
-  for (const auto& b : r.broken) {
+  for (const auto& b : r.violations) {
     if (++shown > 10) break;
     std::printf("  broken: %s at %.3f s: %s\n", b.rule.c_str(), b.at_s, b.detail.c_str());
   }
-  if (r.broken.size() > 10) std::printf("  and %zu more\n", r.broken.size() - 10);
+  if (r.violations.size() > 10) std::printf("  and %zu more\n", r.violations.size() - 10);
 }
 
 Result PlayTimed(const Scenario& scenario, uint64_t seed, double* wall_s) {
   const auto start = std::chrono::steady_clock::now();
-  Result r = rehearsal::Play(scenario, seed);
+  Result r = rehearsal::Simulate(scenario, seed);
   *wall_s = std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
   return r;
 }
@@ -175,7 +175,7 @@
     });
     loop.Run();
     *wall_s = (io::Loop::Now() - start).ToSeconds();
-    result = site.world().End();
+    result = site.world().FinishRun();
     if (interrupted) std::fprintf(stderr, "interrupted\n");
   }
   std::filesystem::remove_all(dir);
@@ -195,14 +195,14 @@
       site->address().c_str(), site->address().c_str(), site->address().c_str());
   std::fflush(stdout);
   rehearsal::Site::Counts shown;
-  shown.live = -1;
+  shown.open = -1;
   if (!tty) co_return;
   for (;;) {
     const rehearsal::Site::Counts now = co_await site->Count();
     if (!(now == shown)) {
       shown = now;
-      std::printf("jobs: %d active, %d ended; machines: %d up, %d starting\n", now.live, now.over,
-                  now.up, now.starting);
+      std::printf("jobs: %d active, %d ended; machines: %d up, %d starting\n", now.open,
+                  now.finished, now.up, now.starting);
       std::fflush(stdout);
     }
     co_await loop->Sleep(Seconds(1));
@@ -258,7 +258,7 @@
   for (size_t i = 0; i < scenario.troubles.size();) {
     Scenario reduced = scenario;
     reduced.troubles.erase(reduced.troubles.begin() + static_cast<std::ptrdiff_t>(i));
-    if (rehearsal::Play(reduced, seed).clean()) {
+    if (rehearsal::Simulate(reduced, seed).clean()) {
       ++i;
     } else {
       scenario = std::move(reduced);
@@ -329,14 +329,14 @@
 template <typename World>
 int ExploreModel(const World& start_world, uint64_t states) {
   const auto start = std::chrono::steady_clock::now();
-  const check::Outcome o = check::Explore(start_world, states);
+  const check::ExplorationResult o = check::Explore(start_world, states);
   std::printf("%llu states, %llu steps, every order of %d events%s, %.1f s: %s\n",
               static_cast<unsigned long long>(o.states), static_cast<unsigned long long>(o.steps),
-              o.depth, o.whole ? " (all reachable states)" : "",
+              o.depth, o.complete ? " (all reachable states)" : "",
               std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count(),
-              o.broken.empty() ? "no invariant violated" : o.broken.c_str());
+              o.violation.empty() ? "no invariant violated" : o.violation.c_str());
   for (const std::string& event : o.path) std::printf("  %s\n", event.c_str());
-  return o.broken.empty() ? 0 : 1;
+  return o.violation.empty() ? 0 : 1;
 }
 
 }  // namespace
@@ -388,7 +388,7 @@
   std::string of = "limits";
   CLI::App* model = verb("model", "Explore every order of events of a state machine");
   check::CancelPlan cancellation_plan;
-  int planted = 0;
+  int fault = 0;
   model
       ->add_option("of", of,
                    "limits: quota shares of several cells; leadership: election in one cell; "
@@ -396,30 +396,31 @@
       ->check(CLI::IsMember({"limits", "leadership", "cancellations"}))
       ->capture_default_str();
   model->add_option("--seconds", cancellation_plan.seconds, "Cancellations: seconds that pass");
-  model->add_option("--troubles", cancellation_plan.troubles,
+  model->add_option("--troubles", cancellation_plan.faults,
                     "Cancellations: largest number of faults");
-  model->add_option("--first", cancellation_plan.first,
+  model->add_option("--first", cancellation_plan.initial_events,
                     "Cancellations: events that are applied before the exploration");
   model
-      ->add_option("--planted", planted,
+      ->add_option("--planted", fault,
                    "Cancellations: number of the injected fault to find; 0: none")
       ->check(CLI::Range(0, 4));
   model->add_option("--nodes", leadership_plan.nodes, "Leadership: number of controllers")
       ->check(CLI::Range(2, 5));
-  model->add_option("--times", leadership_plan.times,
+  model->add_option("--times", leadership_plan.time_steps,
                     "Leadership: time that passes, in thirds of a lease");
-  model->add_option("--lates", leadership_plan.lates,
+  model->add_option("--lates", leadership_plan.delays,
                     "Leadership: number of delayed requests or responses");
   model->add_option("--losses", leadership_plan.losses, "Leadership: number of lost responses");
-  model->add_option("--ends", leadership_plan.ends, "Leadership: number of controllers that end");
-  model->add_option("--retires", leadership_plan.retires, "Leadership: number of handovers");
+  model->add_option("--ends", leadership_plan.restarts,
+                    "Leadership: number of controllers that end");
+  model->add_option("--retires", leadership_plan.handovers, "Leadership: number of handovers");
   model->add_option("--cells", limits_plan.cells, "Limits: number of cells")
       ->check(CLI::Range(2, 5))
       ->capture_default_str();
   model->add_option("--teams", limits_plan.teams, "Limits: number of teams")
       ->check(CLI::Range(1, 3))
       ->capture_default_str();
-  model->add_option("--whole", limits_plan.whole, "Limits: limit of a team, in tasks")
+  model->add_option("--whole", limits_plan.limit, "Limits: limit of a team, in tasks")
       ->capture_default_str();
   model->add_option("--crashes", limits_plan.crashes, "Limits: number of crashes")
       ->capture_default_str();
@@ -428,7 +429,7 @@
                    "Limits: number of restores of an old copy of a record")
       ->capture_default_str();
   model
-      ->add_option("--repeats", limits_plan.repeats,
+      ->add_option("--repeats", limits_plan.duplicates,
                    "Limits: number of messages that are delivered again")
       ->capture_default_str();
   model
@@ -446,7 +447,7 @@
     if (*model && of == "leadership")
       return ExploreModel(check::ElectionModel(leadership_plan), states);
     if (*model && of == "cancellations") {
-      cancellation_plan.planted = static_cast<check::PlantedInAuthority>(planted);
+      cancellation_plan.fault = static_cast<check::AuthorityFault>(fault);
       return ExploreModel(check::CancelModel(cancellation_plan), states);
     }
     if (*model) return ExploreModel(check::LimitsModel(limits_plan), states);
--- a/src/rehearsal/clock.h
+++ b/src/rehearsal/clock.h
@@ -1,5 +1,5 @@
-// Simulated time and chance, shared by all that plays in a scenario: one queue of events, one
-// random engine, so that a seed gives the same history to the byte.
+// Simulated time and randomness of a scenario: one event queue and one random engine, so that a
+// seed gives the same history to the byte.
 #pragma once
 
 #include <algorithm>
@@ -17,12 +17,12 @@
  public:
   explicit Clock(uint64_t seed) : random(seed) {}
 
-  void Later(Micros at, std::function<void()> then) {
+  void Schedule(Micros at, std::function<void()> then) {
     queue_.push({std::max(at, now), ++order, std::move(then)});
   }
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random); }
-  Micros Between(double least_s, double most_s) {
-    return Seconds(least_s + (most_s - least_s) * Chance());
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random); }
+  Micros RandomDuration(double least_s, double most_s) {
+    return Seconds(least_s + (most_s - least_s) * RandomFraction());
   }
   bool empty() const { return queue_.empty(); }
   Micros NextAt() const { return queue_.empty() ? kNever : queue_.top().at; }
@@ -38,7 +38,7 @@
 
   Micros now = Seconds(1);
   std::mt19937_64 random;
-  uint64_t order = 0;  // of events; also a source of numbers that are not used twice
+  uint64_t order = 0;  // number of the last event; also a source of unique numbers
 
  private:
   struct Event {
--- a/src/rehearsal/cloud.h
+++ b/src/rehearsal/cloud.h
@@ -1,5 +1,5 @@
-// The cloud as PROTOCOL "Controller nodes -> cloud" has it, emulated: requests in, answers out,
-// and through the callbacks the machines that come and go.
+// Emulates the cloud of PROTOCOL "Controller nodes -> cloud": handles its requests and reports
+// through callbacks which machines start and end.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
   struct Machine {
     std::string id, type, zone, endpoint;
     bool spot = false;
-    Micros asked, up = kNever, failed = kNever, gone = kNever;
+    Micros requested_at, up_at = kNever, failed_at = kNever, gone_at = kNever;
   };
   struct Hooks {
     std::function<void(Micros at, std::function<void()>)> later;
@@ -32,15 +32,16 @@
   };
   Cloud(const Scenario& scenario, uint64_t seed, Hooks hooks);
 
-  // Machines that are up from the beginning.
+  // Starts the machines that are up from the beginning.
   void Begin(Micros now);
   std::pair<int, std::string> Handle(Micros now, const wire::Call& call);
-  void Take(Micros now, const std::string& id);  // by the cloud itself, or a machine's death
-  double Spent(Micros now) const;
+  // Ends a machine: returned by a controller, or reclaimed by the cloud.
+  void Terminate(Micros now, const std::string& id);
+  double TotalCost(Micros now) const;
 
-  // Troubles.
-  bool down = false, empty = false;
-  double vanish_share = 0, never_share = 0;
+  // Injected faults.
+  bool api_down = false, no_capacity = false;
+  double vanish_share = 0, never_boots_share = 0;
   const std::map<std::string, Machine>& machines() const { return machines_; }
 
  private:
@@ -48,15 +49,15 @@
   std::string Add(Micros now, const MachineOffer& type, const std::string& zone, bool spot);
   std::pair<int, std::string> Rent(Micros now, const std::string& body);
   std::string List(Micros now, const std::string& after);
-  double Chance() { return std::uniform_real_distribution<double>(0, 1)(random_); }
+  double RandomFraction() { return std::uniform_real_distribution<double>(0, 1)(random_); }
 
   const Scenario& scenario_;
   std::mt19937_64 random_;
   Hooks hooks_;
   store::RateLimiter rate_;
-  std::map<std::string, Machine> machines_;  // ever
-  std::map<std::string, std::string> hires_;
-  int next_ = 0;
+  std::map<std::string, Machine> machines_;  // including those that are gone
+  std::map<std::string, std::string> rent_responses_;
+  int last_id_ = 0;
 };
 
 }  // namespace badgershore::rehearsal
--- a/src/scale/core/start_times.cpp
+++ b/src/scale/core/start_times.cpp
@@ -19,12 +19,12 @@
   if (first_event_us_ < 0) first_event_us_ = event.at_us;
   switch (event.kind) {
     case Event::Kind::kSubmitted:
-      jobs_[event.job] = {event.facts.lane, event.facts.tasks, event.at_us, {}};
-      ++classes_[event.facts.lane].submitted;
+      jobs_[event.job] = {event.facts.job_class, event.facts.tasks, event.at_us, {}};
+      ++classes_[event.facts.job_class].submitted;
       return;
-    case Event::Kind::kTaskOn:
+    case Event::Kind::kTaskStarted:
       return OnTaskStarted(event);
-    case Event::Kind::kTaskOff:
+    case Event::Kind::kTaskExited:
       --running_;
       return;
     default:
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -126,8 +126,8 @@
     if (usage) sample.processes[site_->ProcessName(child)] = ToProcessSample(*usage);
   }
   if (const auto own = ReadUsage(::getpid())) sample.processes["hollow"] = ToProcessSample(*own);
-  sample.reports = site_->report_traffic().requests;
-  sample.report_bytes = site_->report_traffic().sent + site_->report_traffic().received;
+  sample.reports = site_->heartbeat_traffic().requests;
+  sample.report_bytes = site_->heartbeat_traffic().sent + site_->heartbeat_traffic().received;
   sample.starts = start_times_.starts();
   for (size_t node = 0; node < site_->node_addresses().size(); ++node) {
     const std::string text = co_await Fetch(site_->node_addresses()[node], "/metrics");
@@ -180,7 +180,7 @@
     site_->LoseState(serving, kStateRestartDelay);
   }
   // The site ends by itself when all jobs have ended or the settle time has passed.
-  while (!ending_ && !site_->world().over()) {
+  while (!ending_ && !site_->world().IsOver()) {
     ShowProgress("settle");
     CheckBounds();
     co_await loop_.Sleep(Millis(200));
@@ -215,7 +215,7 @@
 }
 
 Report Run::MakeReport() {
-  const rehearsal::Result result = site_->world().End();
+  const rehearsal::Result result = site_->world().FinishRun();
   Report report;
   report.plan = plan_.name;
   report.workers = plan_.workers;
@@ -231,15 +231,15 @@
   }
   for (const auto& [lane, times] : start_times_.classes())
     report.waits[lane] = SummarizeWaits(times);
-  report.answer_p50_ms = site_->user_traffic().waits.Quantile(0.5) * 1000;
-  report.answer_p99_ms = site_->user_traffic().waits.Quantile(0.99) * 1000;
-  report.report_p50_ms = site_->report_traffic().waits.Quantile(0.5) * 1000;
-  report.report_p99_ms = site_->report_traffic().waits.Quantile(0.99) * 1000;
+  report.answer_p50_ms = site_->user_traffic().latencies.Quantile(0.5) * 1000;
+  report.answer_p99_ms = site_->user_traffic().latencies.Quantile(0.99) * 1000;
+  report.report_p50_ms = site_->heartbeat_traffic().latencies.Quantile(0.5) * 1000;
+  report.report_p99_ms = site_->heartbeat_traffic().latencies.Quantile(0.99) * 1000;
   report.most_memory_mb = most_memory_mb_;
   report.most_processes = most_processes_;
   report.done = result.done;
   report.open = result.open;
-  report.broken = result.broken;
+  report.broken = result.violations;
   report.broken.insert(report.broken.end(), process_ends_.begin(), process_ends_.end());
   report.stopped = stop_reason_;
   return report;
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -48,7 +48,7 @@
 
 Event Submitted(int64_t at_s, const std::string& job, const std::string& lane, int tasks) {
   Event e = At(at_s, Event::Kind::kSubmitted, job);
-  e.facts.lane = lane;
+  e.facts.job_class = lane;
   e.facts.tasks = tasks;
   return e;
 }
@@ -91,11 +91,11 @@
 TEST(StartTimes, MeasuresWaitForFirstAndLastTask) {
   StartTimes times;
   times.OnEvent(Submitted(10, "job-1", "batch", 2));
-  times.OnEvent(At(12, Event::Kind::kTaskOn, "job-1", 0));
-  times.OnEvent(At(13, Event::Kind::kTaskOn, "job-1", 0));  // a restart of the first task
+  times.OnEvent(At(12, Event::Kind::kTaskStarted, "job-1", 0));
+  times.OnEvent(At(13, Event::Kind::kTaskStarted, "job-1", 0));  // a restart of the first task
   EXPECT_EQ(times.classes().at("batch").started_whole, 0);
-  times.OnEvent(At(18, Event::Kind::kTaskOn, "job-1", 1));
-  times.OnEvent(At(19, Event::Kind::kTaskOff, "job-1", 1));
+  times.OnEvent(At(18, Event::Kind::kTaskStarted, "job-1", 1));
+  times.OnEvent(At(19, Event::Kind::kTaskExited, "job-1", 1));
   const StartTimes::ClassTimes& lane = times.classes().at("batch");
   EXPECT_EQ(lane.started_whole, 1);
   EXPECT_NEAR(lane.first_start.Quantile(0.5), 2, 0.15);
