--- a/src/store/disk/archive.cpp
+++ b/src/store/disk/archive.cpp
@@ -22,13 +22,13 @@
 constexpr size_t kPieceBytes = 1 << 20;
 constexpr size_t kMostEntryBytes = 64 << 20;
 
-// A DiskError where the disk does not take it.
+// Throws a DiskError if fsync fails.
 void SyncPath(const std::string& path, int flags) {
   const int fd = ::open(path.c_str(), flags | O_CLOEXEC);
   const bool synced = fd >= 0 && ::fsync(fd) == 0;
   const int error = errno;
   if (fd >= 0) ::close(fd);
-  // EINVAL: a file system that does not sync directories.
+  // EINVAL: the file system does not support syncing directories.
   if (synced || (fd >= 0 && error == EINVAL)) return;
   throw DiskError(path + ": can't be synced: " + std::strerror(error));
 }
@@ -125,14 +125,14 @@
   while ((state = archive_read_next_header(a, &entry)) == ARCHIVE_OK) {
     const char* path = archive_entry_pathname(entry);
     const std::string name = path ? path : "";
-    if (!sums.empty()) fail(name, "comes after " + kSums);
-    if (archive_entry_filetype(entry) != AE_IFREG) fail(name, "not a file");
+    if (!sums.empty()) fail(name, "entry after " + kSums);
+    if (archive_entry_filetype(entry) != AE_IFREG) fail(name, "not a regular file");
     std::string bytes;
     char buffer[1 << 16];
     la_ssize_t n = 0;
     while ((n = archive_read_data(a, buffer, sizeof(buffer))) > 0) {
       bytes.append(buffer, static_cast<size_t>(n));
-      if (bytes.size() > kMostEntryBytes) fail(name, "too large");
+      if (bytes.size() > kMostEntryBytes) fail(name, "entry is too large");
     }
     if (n < 0) fail(name, why());
     if (name == kSums) {
@@ -140,11 +140,11 @@
       if (sums.empty()) break;
       continue;
     }
-    if (!found.emplace(name, Sha256(bytes)).second) fail(name, "is there twice");
+    if (!found.emplace(name, Sha256(bytes)).second) fail(name, "duplicate entry");
     each(name, bytes);
   }
   if (state != ARCHIVE_EOF && state != ARCHIVE_OK) fail("", why());
-  if (sums.empty()) fail(kSums, "missing: not a whole archive");
+  if (sums.empty()) fail(kSums, "missing; the archive is incomplete");
   size_t at = 0;
   while (at < sums.size()) {
     const size_t end = sums.find('\n', at);
@@ -152,11 +152,11 @@
     const std::string sum = sums.substr(at, 64), name = sums.substr(at + 66, end - at - 66);
     auto it = found.find(name);
     if (it == found.end()) fail(name, "missing");
-    if (it->second != sum) fail(name, "its checksum differs");
+    if (it->second != sum) fail(name, "checksum mismatch");
     found.erase(it);
     at = end + 1;
   }
-  if (!found.empty()) fail(found.begin()->first, "not in " + kSums);
+  if (!found.empty()) fail(found.begin()->first, "not listed in " + kSums);
 }
 
 void WriteSnapshot(const StateImage& image, const std::string& file) {
@@ -188,7 +188,7 @@
     for (int number = 1; at < bytes.size(); ++number) {
       const size_t end = std::min(bytes.find('\n', at), bytes.size());
       if (!wire::ReadLine(std::string_view(bytes).substr(at, end - at), &image)) {
-        throw DiskError(file + ": " + name + ":" + std::to_string(number) + ": not a record");
+        throw DiskError(file + ": " + name + ":" + std::to_string(number) + ": invalid record");
       }
       at = end + 1;
     }
@@ -198,9 +198,11 @@
 }
 
 void Restore(const std::string& file, const std::string& dir) {
-  if (!Engine::IsEmptyOrAbsent(dir)) throw DiskError(dir + ": not empty; nothing was restored");
+  if (!Engine::IsEmptyOrAbsent(dir))
+    throw DiskError(dir + ": directory is not empty; nothing was restored");
   const StateImage image = ReadSnapshot(file);
-  // Filled beside and then renamed, so that a restore cut short leaves nothing that looks whole.
+  // Restores into a temporary directory and renames it, so that an interrupted restore leaves no
+  // incomplete database at `dir`.
   std::string beside = dir;
   while (beside.size() > 1 && beside.back() == '/') beside.pop_back();
   beside += ".restoring";
@@ -210,7 +212,7 @@
     engine.Initialize(image);
   }
   std::error_code error;
-  std::filesystem::remove(dir, error);  // an empty one
+  std::filesystem::remove(dir, error);  // it is empty if it exists
   std::filesystem::rename(beside, dir, error);
   if (error) throw DiskError(dir + ": " + error.message());
   SyncPath(std::filesystem::absolute(dir).parent_path().string(), O_RDONLY | O_DIRECTORY);
--- a/src/store/disk/archive.h
+++ b/src/store/disk/archive.h
@@ -1,4 +1,4 @@
-// Files with a checksum for each entry in one zstd-compressed tar archive.
+// zstd-compressed tar archives with a SHA-256 checksum for each entry.
 #pragma once
 
 #include <functional>
@@ -13,8 +13,8 @@
 
 std::string Sha256(std::string_view bytes);  // hex
 
-// Writes FILE.partial and renames it to FILE when Finish has synced it: a file under its own name
-// is whole. The last entry, SHA256SUMS, has a line for each of the others.
+// Writes FILE.partial, which Finish syncs and renames to FILE, so that a file named FILE is always
+// complete. The last entry, SHA256SUMS, has a line for each of the others.
 class ArchiveWriter {
  public:
   explicit ArchiveWriter(std::string file);
@@ -29,14 +29,15 @@
   archive* archive_ = nullptr;
 };
 
-// Hands out each entry and then compares all with SHA256SUMS; a DiskError names the entry that
-// differs, is missing or was not meant to be there. Nothing of it may be used before it returns.
+// Passes each entry to `each` and then verifies all of them against SHA256SUMS. Throws a DiskError
+// that names an entry with another checksum, a missing one or one that is not listed. The entries
+// must not be used before ReadArchive returns.
 void ReadArchive(
     const std::string& file,
     const std::function<void(const std::string& name, const std::string& bytes)>& each);
 
-// A snapshot of an image, and back. Restoring needs an empty or absent directory and leaves it so
-// unless all of the snapshot was good.
+// Writes an image to a snapshot file, and reads it back. Restore needs an empty or absent directory
+// and leaves it unchanged unless the whole snapshot is valid.
 void WriteSnapshot(const StateImage& image, const std::string& file);
 StateImage ReadSnapshot(const std::string& file);
 void Restore(const std::string& file, const std::string& dir);
--- a/src/store/disk/database_options.cpp
+++ b/src/store/disk/database_options.cpp
@@ -20,8 +20,8 @@
 constexpr uint32_t kTableFormatVersion = 5;
 constexpr int kNoResumeAttempts = 0;
 
-// Keeps the library from recovering from a failed write on a thread of its own, which begins a new
-// log beside the torn one while the engine closes and reopens the database.
+// Disables RocksDB's automatic recovery from a failed write. It runs on a background thread and
+// would create a new log next to the torn one while the engine closes and reopens the database.
 class NoAutomaticRecovery : public rocksdb::EventListener {
  public:
   void OnErrorRecoveryBegin(rocksdb::BackgroundErrorReason /*reason*/, rocksdb::Status /*error*/,
@@ -43,13 +43,13 @@
   options.wal_recovery_mode = writable ? rocksdb::WALRecoveryMode::kAbsoluteConsistency
                                        : rocksdb::WALRecoveryMode::kTolerateCorruptedTailRecords;
   options.track_and_verify_wals_in_manifest = writable;
-  // After a failed write the engine reopens the database, and nobody else recovers.
+  // After a failed write only the engine recovers, by reopening the database.
   options.listeners.push_back(std::make_shared<NoAutomaticRecovery>());
   options.max_bgerror_resume_count = kNoResumeAttempts;
   options.max_background_jobs = kBackgroundJobs;
   options.write_buffer_size = kWriteBufferBytes;
-  // Nothing is read while it serves: new rows are kept in the order of their arrival, and sorted
-  // when they go to a table.
+  // The database is not read while the service runs, so the memtable appends rows unsorted and
+  // sorts them when it is flushed to a table.
   options.memtable_factory = std::make_shared<rocksdb::VectorRepFactory>();
   options.allow_concurrent_memtable_write = false;
   options.max_open_files = writable ? kMaxOpenFiles : kAllFilesOpen;
--- a/src/store/disk/database_options.h
+++ b/src/store/disk/database_options.h
@@ -1,4 +1,4 @@
-// How the state service's database is opened.
+// RocksDB options of the state service's database.
 #pragma once
 
 #include <rocksdb/options.h>
@@ -8,11 +8,11 @@
 namespace badgershore::store {
 
 enum class DatabaseAccess {
-  kReadWrite,  // the only writer; a torn end must have been cut before
-  kReadOnly,   // beside a writer, whose last record may be incomplete
+  kReadWrite,  // the only writer; torn writes must have been truncated before
+  kReadOnly,   // possibly alongside a writer, whose last record may be incomplete
 };
 
-// `env`, `info_log`: null for the library's own.
+// `env`, `info_log`: null for RocksDB's default.
 rocksdb::Options DatabaseOptions(DatabaseAccess access, rocksdb::Env* env,
                                  std::shared_ptr<rocksdb::Logger> info_log = nullptr);
 
--- a/src/store/disk/engine.cpp
+++ b/src/store/disk/engine.cpp
@@ -33,14 +33,14 @@
   throw DiskError(line);
 }
 
-// A file that the storage library leaves in a directory before the database exists.
+// Whether RocksDB creates this file before the database is complete.
 bool IsDatabaseFile(const fs::path& path) {
   const std::string name = path.filename().string();
   return name == "LOCK" || name == "IDENTITY" || name.starts_with("LOG") ||
          name.starts_with("MANIFEST-") || name.ends_with(".log") || name.ends_with(".dbtmp");
 }
 
-// The library's lock on a data directory, held until the end of the scope.
+// Holds RocksDB's lock on a data directory for the scope.
 class DirectoryLock {
  public:
   DirectoryLock(rocksdb::Env* env, const std::string& dir) : env_(env) {
@@ -51,7 +51,7 @@
         reason.find("unavailable") != std::string::npos) {
       throw DiskError(dir + ": in use by another process");
     }
-    throw DiskError(dir + ": can't be used: " + OneLine(reason));
+    throw DiskError(dir + ": can't be locked: " + OneLine(reason));
   }
   ~DirectoryLock() { env_->UnlockFile(lock_); }
   DirectoryLock(const DirectoryLock&) = delete;
@@ -117,14 +117,14 @@
 
 void Engine::PrepareDirectory() const {
   const bool empty = IsEmptyOrAbsent(dir_);
-  if (mode_ == OpenMode::kReadOnly && empty) throw DiskError(dir_ + ": no state here");
+  if (mode_ == OpenMode::kReadOnly && empty) throw DiskError(dir_ + ": contains no state database");
   std::error_code error;
   fs::create_directories(dir_, error);
   if (empty || mode_ == OpenMode::kReadOnly || fs::exists(fs::path(dir_) / "CURRENT")) return;
-  // A first start that was cut short leaves some files of the library; others are left alone.
+  // An interrupted first start leaves some RocksDB files; a directory with other files is refused.
   for (const auto& file : fs::directory_iterator(dir_)) {
     if (!IsDatabaseFile(file.path())) {
-      throw DiskError(dir_ + ": holds other files and no state");
+      throw DiskError(dir_ + ": contains other files and no state database");
     }
   }
 }
@@ -133,15 +133,15 @@
   const rocksdb::Options options =
       DatabaseOptions(DatabaseAccess::kReadOnly, options_.env, DiscardingInfoLog());
   rocksdb::Status status;
-  // The owner may delete a file between the listing and its opening.
+  // The writer may delete a file after RocksDB lists it and before it opens it.
   for (int attempt = 0; attempt < kReadOnlyOpenAttempts; ++attempt) {
     status = rocksdb::DB::OpenForReadOnly(options, dir_, db);
     if (status.ok() || !(status.IsIOError() || status.IsPathNotFound())) break;
     ::usleep(kReadOnlyRetryDelayUs);
   }
   std::unique_ptr<rocksdb::DB> opened(*db);
-  // The library takes a record that seems to reach past the end of a log for one being written; and
-  // where it refuses, this names the damaged file.
+  // RocksDB treats a record that extends past the end of a log as one still being written;
+  // CheckLogs detects corruption there. If RocksDB failed to open, this names the corrupt file.
   CheckLogs(dir_, [this] { return OldestNeededLog(); });
   *db = opened.release();
   return status;
@@ -150,7 +150,7 @@
 rocksdb::Status Engine::OpenReadWrite(rocksdb::DB** db) {
   rocksdb::Options options = DatabaseOptions(DatabaseAccess::kReadWrite, options_.env);
   {
-    // Another process that holds the lock is writing: its logs must not be touched.
+    // Without the lock another process may be writing these logs.
     const DirectoryLock lock(options.env, dir_);
     if (!info_log_) info_log_ = OpenInfoLog(dir_);
     std::vector<std::string> warnings = RecoverLogs(dir_, [this] { return OldestNeededLog(); });
@@ -160,7 +160,7 @@
   return rocksdb::DB::Open(options, dir_, db);
 }
 
-// As the manifest has it; 0 where that can't be read, so that all logs count as needed.
+// Read from the manifest; 0 if that can't be read, so that all logs count as needed.
 uint64_t Engine::OldestNeededLog() const {
   rocksdb::Options options =
       DatabaseOptions(DatabaseAccess::kReadOnly, options_.env, DiscardingInfoLog());
@@ -226,18 +226,19 @@
         meta = true;
         break;
       }
-      case 'r':  // the owner's note
+      case 'r':  // the owner's metadata
         break;
       default:
         throw DataDamagedError(dir_ + ": record " + key.ToString(true) +
-                               " is of no known kind; restore a snapshot");
+                               " has an unknown type; restore a snapshot");
     }
   }
   if (!it->status().ok()) ThrowFailure(dir_, it->status());
   if (!meta && (!image.items.empty() || !image.change_log.empty())) {
-    throw DataDamagedError(dir_ + ": the revision's record is missing; restore a snapshot");
+    throw DataDamagedError(dir_ + ": the metadata record is missing; restore a snapshot");
   }
-  // The revision's record comes after the changes; what it has forgotten goes now.
+  // Rows are read in key order: the metadata follow the changes, so compacted changes are removed
+  // here.
   while (!image.change_log.empty() && image.change_log.front().revision <= image.compacted_revision)
     image.change_log.pop_front();
   trimmed_ = image.compacted_revision;
@@ -274,13 +275,13 @@
     writes_ = expected_;
     return WriteOutcome::kDurable;
   }
-  if (status.IsCorruption()) ThrowFailure(dir_, status);  // found by the library's own threads
+  if (status.IsCorruption()) ThrowFailure(dir_, status);  // found by RocksDB's background threads
   last_failure_ = dir_ + ": " + OneLine(status.ToString());
   return ResolveUnknownWrite();
 }
 
 rocksdb::DB* Engine::Database() const {
-  if (!db_) throw DiskError(dir_ + ": closed after a failed write");
+  if (!db_) throw DiskError(dir_ + ": the database is closed after a failed write");
   return db_.get();
 }
 
@@ -303,7 +304,7 @@
   Put(&out, meta);
   if (batch) PutBatch(&out, *batch);
   if (!note.empty()) out.Put(kOwnerMetadataKey, note);
-  // Dropping old rows by range costs later reads something, so it is done seldom.
+  // Range deletions slow down later reads, so compacted changes are deleted only in large steps.
   const bool trim = meta.compacted > trimmed_ + kMinChangeLogEntries / 4;
   if (trim) out.DeleteRange("c", ChangesKey(meta.compacted + 1));
   const WriteOutcome written = Commit(&out);
@@ -344,8 +345,8 @@
   return status.ok() ? note : std::string();
 }
 
-// A failed write may be on the disk all the same. Opening the database again writes what its logs
-// hold to new, synced files, so after that what is seen is what is durable.
+// A failed write may still be on disk. Reopening the database flushes its logs to new, synced
+// files, so everything read afterwards is durable.
 WriteOutcome Engine::ResolveUnknownWrite() {
   try {
     notes_.clear();
@@ -378,7 +379,7 @@
   for (const auto& [id, life] : image.leases) {
     out.Put("l" + BigEndian(id), Pack(LeaseRow{life.count}));
   }
-  // In pieces that end with a revision, as batches do.
+  // Split at revision boundaries, as batches are.
   std::vector<ChangeLogEntry> piece;
   for (size_t i = 0; i < image.change_log.size(); ++i) {
     piece.push_back(image.change_log[i]);
--- a/src/store/disk/engine.h
+++ b/src/store/disk/engine.h
@@ -1,13 +1,15 @@
-// The state service's disk: one RocksDB database. Every write is synced before it is answered.
+// The state service's storage engine: one RocksDB database. Every write is synced before it is
+// acknowledged.
 //
-// Opening cuts a torn end and says so; damage anywhere else is an error that names the file.
-// After a write that failed the database is opened again, and what it then holds decides whether
-// the batch was written (see Write). The engine alone recovers: the library's own recovery is off.
+// Opening truncates a torn write at the end of the log and reports it as a warning; corruption
+// anywhere else is an error that names the file. After a failed write the database is reopened and
+// its contents decide whether the batch was written (see Write). Only the engine recovers from
+// errors; RocksDB's automatic recovery is disabled.
 //
-// Every member that touches the disk throws a DataDamagedError where it finds damage; a DiskError
-// where a read or an opening failed in a way that may pass.
+// Every member that accesses the disk throws a DataDamagedError if it finds corruption, and a
+// DiskError if a read or opening the database fails for a possibly temporary cause.
 //
-// One thread at a time may use an engine.
+// Not thread-safe: one thread at a time may use an engine.
 #pragma once
 
 #include <cstdint>
@@ -30,42 +32,43 @@
 namespace badgershore::store {
 
 struct EngineOptions {
-  // Changes are refused while the file system has less room than this, so that a full disk is
-  // met before a write begins and not in the middle of one.
+  // Writes are refused while the file system has less free space than this, so that a full disk is
+  // detected before a write starts rather than in the middle of one.
   uint64_t reserve_bytes = 64ULL << 20;
-  std::function<uint64_t(const std::string& dir)> free_bytes;  // none: asks the file system
-  rocksdb::Env* env = nullptr;                                 // none: the library's own
+  std::function<uint64_t(const std::string& dir)> free_bytes;  // none: queries the file system
+  rocksdb::Env* env = nullptr;                                 // none: RocksDB's default
 };
 
 class Engine {
  public:
   enum class OpenMode {
-    kReadWrite,  // the only one to write; a second owner is refused
-    kReadOnly,   // reads beside an owner: a consistent image of some moment
+    kReadWrite,  // exclusive; fails if another process has the directory open for writing
+    kReadOnly,   // a consistent image at some time, possibly alongside a writer
   };
   Engine(std::string dir, OpenMode mode, EngineOptions options = {});
   ~Engine();
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
-  // Whole, with every checksum verified.
+  // Reads the complete image and verifies every checksum.
   StateImage Load();
-  // kUnknown: the disk fails so that not even that can be found out; ResolveUnknownWrite tries
-  // again and has to succeed before the next write, which is refused (kAbsent) until then.
+  // kUnknown: the disk fails and the outcome can't be determined. ResolveUnknownWrite has to
+  // succeed before the next write; until then writes are refused (kAbsent).
   WriteOutcome Write(const Batch& batch);
-  // The same with a note of the owner's, in one durable write; without a batch the note alone.
+  // The same, with the owner's metadata in the same durable write; without a batch, only that
+  // metadata.
   WriteOutcome WriteWithOwnerMetadata(const Batch* batch, const std::string& note);
-  // All that was there gives way to this image and this note, in one durable write.
+  // Replaces all data by this image and metadata, in one durable write.
   WriteOutcome Replace(const StateImage& image, const std::string& note);
-  std::string LoadOwnerMetadata();  // empty: none was ever written
-  // After kUnknown: what became of that batch, or kUnknown still.
+  std::string LoadOwnerMetadata();  // empty: never written
+  // After kUnknown: the outcome of that batch, or kUnknown again.
   WriteOutcome ResolveUnknownWrite();
-  // Why the last write was not kDurable, or the last resolving not possible.
+  // Why the last write was not kDurable, or the last ResolveUnknownWrite returned kUnknown.
   const std::string& last_failure() const { return last_failure_; }
-  // Fills an empty directory from an image; durable when it returns.
+  // Writes an image to an empty database; durable when it returns.
   void Initialize(const StateImage& image);
 
-  // What opening had to say: a torn end that was cut.
+  // Warnings of the last opening: torn writes that were truncated.
   const std::vector<std::string>& recovery_warnings() const { return notes_; }
   static bool IsEmptyOrAbsent(const std::string& dir);
 
@@ -76,7 +79,7 @@
   rocksdb::Status OpenReadOnly(rocksdb::DB** db);
   rocksdb::Status OpenReadWrite(rocksdb::DB** db);
   void LoadMetadata();
-  rocksdb::DB* Database() const;  // throws a DiskError while it is closed after a failure
+  rocksdb::DB* Database() const;  // throws a DiskError while closed after a failure
   bool AcceptsWrites();
   WriteOutcome Commit(rocksdb::WriteBatch* out);
 
@@ -87,8 +90,8 @@
   std::unique_ptr<rocksdb::DB> db_;
   std::vector<std::string> notes_;
   std::string last_failure_;
-  uint64_t writes_ = 0;  // durable batches, ever
-  // The revision and its like after the last durable write.
+  uint64_t writes_ = 0;  // durable writes since the database was created
+  // The metadata after the last durable write.
   uint64_t epoch_ = 0, last_lease_ = 0, compacted_ = 0;
   uint64_t expected_ = 0;
   uint64_t trimmed_ = 0;
--- a/src/store/disk/info_log.h
+++ b/src/store/disk/info_log.h
@@ -1,5 +1,5 @@
-// The storage library's own log, which must not end the program where the disk fails: with the
-// library's writer an append after a failed one is an assertion.
+// Writers of RocksDB's info log. RocksDB's own writer aborts the process by an assertion when it
+// appends after a failed append; these tolerate a failing disk.
 #pragma once
 
 #include <rocksdb/env.h>
@@ -9,11 +9,11 @@
 
 namespace badgershore::store {
 
-// Appends warnings and errors to DIR/LOG; what was there becomes DIR/LOG.old, also at one MiB. A
-// line that can't be written is dropped. From any thread.
+// Writes warnings and errors to DIR/LOG, which is rotated to DIR/LOG.old at opening and at one MiB.
+// A line that can't be written is dropped. Thread-safe.
 std::shared_ptr<rocksdb::Logger> OpenInfoLog(const std::string& dir);
 
-// Writes nothing, for a directory that belongs to another process.
+// Discards everything; for a directory that another process may be writing to.
 std::shared_ptr<rocksdb::Logger> DiscardingInfoLog();
 
 }  // namespace badgershore::store
--- a/src/store/disk/log_check.cpp
+++ b/src/store/disk/log_check.cpp
@@ -32,7 +32,7 @@
 struct Fragment {
   enum class State { kGood, kPadding, kPastEnd, kBad } state = State::kBad;
   unsigned char type = 0;
-  size_t size = 0;  // with its header
+  size_t size = 0;  // including its header
 };
 
 Fragment ReadFragment(const std::string& bytes, size_t at) {
@@ -62,7 +62,7 @@
   return bytes.find_first_not_of('\0', from) == std::string::npos;
 }
 
-// Blocks that were never written read as zeros; the last written byte of a torn record is before.
+// Whether the record and the rest of the log end in zeros, as blocks that were never written do.
 bool EndsInZeros(const std::string& bytes, size_t from, size_t size) {
   const size_t end = std::min(bytes.size(), from + size);
   if (!AllZero(bytes, end)) return false;
@@ -74,8 +74,8 @@
   return bits != 0 && ((bits & 0xff) == 0 || (bits >> 8) == 0);
 }
 
-// Whether the fragment at `at`, which seems to reach past the end, is whole but for one byte of its
-// length: then it is damaged and not torn.
+// Whether the fragment at `at`, whose length extends past the end of the log, is valid with one
+// byte of that length changed. If so, the length is corrupt and the fragment is not a torn write.
 bool IsWholeAtAnotherLength(const std::string& bytes, size_t at, size_t size) {
   if (at + kHeader > bytes.size()) return false;
   const char* header = bytes.data() + at;
@@ -103,7 +103,7 @@
 LogCheck CheckLog(const std::string& bytes) {
   LogCheck out;
   size_t at = 0;
-  bool open = false;  // within a record of several fragments
+  bool open = false;  // inside a record of several fragments
   const auto bad = [&](size_t where, bool torn) {
     out.state = torn && !AnyGoodAfter(bytes, where + 1) ? LogCheck::State::kTorn
                                                         : LogCheck::State::kDamaged;
@@ -112,7 +112,7 @@
   };
   while (at < bytes.size()) {
     const size_t left = kBlock - at % kBlock;
-    if (left < kHeader) {  // a block's last bytes hold no record
+    if (left < kHeader) {  // too few bytes for a header: block trailer, filled with zeros
       const size_t end = std::min(bytes.size(), at + left);
       if (!AllZero(bytes.substr(at, end - at), 0)) return bad(at, false);
       at = end;
--- a/src/store/disk/log_check.h
+++ b/src/store/disk/log_check.h
@@ -1,11 +1,11 @@
-// Looks through a log file of the storage library before the library opens it.
+// Verifies a RocksDB write-ahead log or manifest before RocksDB opens it.
 //
-// The library takes a record that seems to reach past the end of a log for a torn one and drops
-// it, with all that follows in its block: a flipped bit in a length would lose answered commits
-// silently. So each log is walked first, by the published format of RocksDB's write-ahead log
-// (blocks of 32 KiB; records of checksum, length, type and payload; wiki page "Write Ahead Log
-// File Format"), and a bad place counts as a torn end only where nothing whole comes after it and
-// no change of one byte of its length makes it whole.
+// RocksDB treats a record that extends past the end of a log as a torn write and drops it with the
+// rest of its block, so a bit flip in a length would silently lose acknowledged commits. Therefore
+// each log is checked first, following the published format (blocks of 32 KiB; records of checksum,
+// length, type and payload; RocksDB wiki, "Write Ahead Log File Format"). An invalid record counts
+// as a torn write only if no valid record follows it and no change of one byte of its length makes
+// it valid.
 #pragma once
 
 #include <cstdint>
@@ -15,9 +15,9 @@
 
 struct LogCheck {
   enum class State { kWhole, kTorn, kDamaged } state = State::kWhole;
-  uint64_t good_bytes = 0;  // up to here the records are whole
-  uint64_t bad_at = 0;      // kTorn, kDamaged: where the first bad one begins
-  // kTorn: the log ends within a record, as a failed append leaves it; else its end reads as zeros.
+  uint64_t good_bytes = 0;  // size of the valid records at the beginning
+  uint64_t bad_at = 0;      // kTorn, kDamaged: offset of the first invalid record
+  // kTorn: the log ends within a record, as after a failed append; otherwise it ends in zeros.
   bool ends_in_record = false;
 };
 
--- a/src/store/disk/log_recovery.cpp
+++ b/src/store/disk/log_recovery.cpp
@@ -58,7 +58,7 @@
   const int fd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
   const bool cut = fd >= 0 && ::ftruncate(fd, static_cast<off_t>(size)) == 0 && ::fsync(fd) == 0;
   if (fd >= 0) ::close(fd);
-  if (!cut) throw DiskError(where + ": a torn end can't be cut");
+  if (!cut) throw DiskError(where + ": a torn write can't be truncated");
 }
 
 enum class TornEnd { kKeep, kCut };
@@ -68,15 +68,15 @@
   return fs::file_size(log.path, error) == 0 && !error;
 }
 
-// No acknowledged write can be in the torn end of `logs[index]`: a log is synced whole before a
-// record goes to a newer one.
+// Whether the torn write at the end of `logs[index]` can't be an acknowledged one: a log is synced
+// completely before a record is written to a newer one.
 bool MayEndTorn(const std::vector<LogFile>& logs, size_t index, const LogCheck& check) {
   if (index + 1 == logs.size()) return true;
   const auto newer = logs.begin() + static_cast<std::ptrdiff_t>(index) + 1;
   return check.ends_in_record && std::all_of(newer, logs.end(), IsEmpty);
 }
 
-// A torn end of the manifest names nothing that was acknowledged.
+// A torn write at the end of the manifest is ignored: it can't refer to acknowledged writes.
 std::vector<std::string> WalkLogs(const std::string& dir, TornEnd torn_end,
                                   const OldestNeededLog& oldest_needed_log) {
   std::vector<std::string> warnings;
@@ -88,14 +88,15 @@
     const bool torn = check.state == LogCheck::State::kTorn;
     if (torn && log.IsManifest()) continue;
     const std::string where = log.path.string() + ": byte " + std::to_string(check.bad_at);
-    if (!torn) throw DataDamagedError(where + ": damaged; restore a snapshot");
+    if (!torn) throw DataDamagedError(where + ": corrupt; restore a snapshot");
     if (!MayEndTorn(logs, i, check)) {
       if (log.number < oldest_needed_log()) continue;
-      throw DataDamagedError(where + ": damaged; restore a snapshot");
+      throw DataDamagedError(where + ": corrupt; restore a snapshot");
     }
     if (torn_end == TornEnd::kKeep) continue;
     const uint64_t torn_bytes = fs::file_size(log.path) - check.good_bytes;
-    warnings.push_back(where + ": a torn end of " + std::to_string(torn_bytes) + " bytes was cut");
+    warnings.push_back(where + ": truncated a torn write of " + std::to_string(torn_bytes) +
+                       " bytes");
     Truncate(log.path, check.good_bytes, where);
   }
   return warnings;
--- a/src/store/disk/rows.h
+++ b/src/store/disk/rows.h
@@ -1,6 +1,7 @@
-// Rows of the state service's database: one RocksDB record each, with a format number in front.
-// Keys: "m" the metadata, "r" the owner's metadata, "k" and a key, "l" and a lease id, "c" and the
-// last revision of a batch's changes. Numbers in keys are big-endian, so that they sort.
+// Rows of the state service's database: one RocksDB record each, prefixed with a format number.
+// Row keys: "m" for the metadata, "r" for the owner's metadata, "k" + key for a value, "l" + lease
+// id for a lease, "c" + the last revision of a batch for its changes. Numbers in row keys are
+// big-endian, so that they sort numerically.
 #pragma once
 
 #include <rocksdb/slice.h>
@@ -20,7 +21,8 @@
 
 namespace badgershore::store {
 
-// The format number; a later format raises it and still reads the earlier ones.
+// The format number. A later version that changes the format increments it and still reads the
+// earlier formats.
 constexpr uint8_t kFormat = 1;
 
 struct MetaRow {
@@ -54,7 +56,7 @@
     a(stamp, key, value, deleted);
   }
 };
-// The changes of one batch, in one record under its last revision.
+// The changes of one batch, in one record keyed by its last revision.
 struct ChangesRow {
   std::vector<ChangeRow> changes;
   template <class A>
@@ -77,7 +79,8 @@
   return v;
 }
 
-// A string as a stream: a new string stream for each record costs more than the record.
+// A reusable string stream buffer; constructing a string stream per record costs more than encoding
+// the record.
 class StringSink : public std::streambuf {
  public:
   std::string text;
@@ -121,8 +124,8 @@
     format = 0;
   }
   const std::string name = "record " + key.ToString(true);
-  if (format == 0) throw DataDamagedError(name + " can't be read; restore a snapshot");
-  throw DiskError(name + " has format " + std::to_string(format) + ", this program reads " +
+  if (format == 0) throw DataDamagedError(name + " can't be decoded; restore a snapshot");
+  throw DiskError(name + " has format " + std::to_string(format) + "; this version reads format " +
                   std::to_string(kFormat));
 }
 
--- a/src/store/disk_retry.h
+++ b/src/store/disk_retry.h
@@ -1,4 +1,4 @@
-// Decides when a disk that fails is tried again and when that is said in the log. No clock.
+// Decides when to retry a failing disk and when to log the failure. The caller supplies the time.
 #pragma once
 
 #include <optional>
@@ -7,17 +7,17 @@
 
 namespace badgershore::store {
 
-// One disk. Failures in a row are one spell, from the first failure to the next success.
+// The state of one disk. An outage lasts from the first failure to the next success.
 class DiskRetry {
  public:
   struct Decision {
     Micros delay;        // until the next attempt
-    Micros failing_for;  // since the spell's first failure
-    bool log = false;    // the spell's first failure, or the last line is old
+    Micros failing_for;  // since the outage's first failure
+    bool log = false;    // true for the outage's first failure, then at intervals
   };
 
   Decision OnFailure(Micros now);
-  // How long the spell lasted that this success ends; nothing where the disk did not fail.
+  // The length of the outage that this success ends; nothing if there was none.
   std::optional<Micros> OnSuccess(Micros now);
 
  private:
--- a/src/store/model.h
+++ b/src/store/model.h
@@ -1,5 +1,6 @@
-// What the state service keeps: items under keys, leases, and the latest changes. Shapes after
-// PROTOCOL "Controller nodes -> state service"; stamps and epochs are revisions, never reused.
+// The state service's data: versioned values by key, leases, and the change log. The model follows
+// PROTOCOL "Controller nodes -> state service"; its stamps and epochs are revisions here, which are
+// never reused.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +19,7 @@
 constexpr size_t kMinChangeLogEntries = 10000;
 
 struct VersionedValue {
-  std::string value;     // JSON, as it was put
+  std::string value;     // JSON, as the client wrote it
   uint64_t version = 0;  // the revision of its latest change
   uint64_t lease = 0;    // 0: none
   bool operator==(const VersionedValue&) const = default;
@@ -31,40 +32,41 @@
   bool operator==(const ChangeLogEntry&) const = default;
 };
 
-// 0: no limit. Rates allow bursts of one second's worth.
+// 0: no limit. A rate limit allows a burst of up to one second's quantity.
 struct Limits {
   double requests_per_s = 0;
   double changes_per_s = 0;
   size_t value_bytes = 64 * 1024;
-  size_t commit_changes = 128;  // conditions: four times as many
+  size_t commit_changes = 128;  // up to four times as many preconditions
   size_t commit_bytes = 64 * 1024;
 };
 
-// Everything that lasts.
+// The complete durable state.
 struct StateImage {
   uint64_t revision = 0;
   uint64_t last_lease_id = 0;
-  uint64_t compacted_revision = 0;  // the log holds every change after this revision
+  uint64_t compacted_revision = 0;  // the change log holds every change after this revision
   std::map<std::string, VersionedValue> items;
   std::map<uint64_t, Micros> leases;  // id -> time to live
   std::deque<ChangeLogEntry> change_log;
   bool operator==(const StateImage&) const = default;
 };
 
-// What one durable write changes: all of it or nothing.
+// The changes of one atomic, durable write.
 struct Batch {
   uint64_t id = 0;
   uint64_t revision = 0;
   uint64_t last_lease_id = 0;
   uint64_t compacted_revision = 0;
   std::map<std::string, std::optional<VersionedValue>> items;  // none: deleted
-  std::map<uint64_t, std::optional<Micros>> leases;            // none: ended
+  std::map<uint64_t, std::optional<Micros>> leases;            // none: revoked or expired
   std::vector<ChangeLogEntry> change_log;
 
   bool empty() const { return items.empty() && leases.empty() && change_log.empty(); }
 };
 
-// Puts a durable batch into the image. The log keeps at least the latest kKeptChanges rows.
+// Applies a durable batch to the image. The change log keeps at least the latest
+// kMinChangeLogEntries entries.
 void Apply(const Batch& batch, StateImage* image);
 
 inline bool ValidKey(std::string_view key) {
--- a/src/store/rate_limiter.h
+++ b/src/store/rate_limiter.h
@@ -1,4 +1,4 @@
-// A rate with bursts of one second's worth.
+// A token bucket that holds one second's quantity.
 #pragma once
 
 #include <algorithm>
@@ -9,11 +9,11 @@
 
 class RateLimiter {
  public:
-  // per_s 0: everything passes.
+  // per_s 0: no limit.
   RateLimiter(double per_s, Micros now) : per_s_(per_s), left_(per_s), at_(now) {}
 
-  // Takes `n` if they are left. More than a second's worth at once passes when the burst is
-  // whole, or it never could.
+  // Takes `n` tokens if available. A request for more than the bucket holds is granted when the
+  // bucket is full, as otherwise it could never be granted.
   bool TryAcquire(Micros now, double n) {
     if (per_s_ <= 0) return true;
     left_ = std::min(per_s_, left_ + per_s_ * (now - at_).ToSeconds());
--- a/src/store/requests.h
+++ b/src/store/requests.h
@@ -1,4 +1,4 @@
-// What clients ask of the state service and what they are told, without the wire's form.
+// Requests to the state service and their responses, independent of the wire format.
 #pragma once
 
 #include <string>
@@ -20,7 +20,7 @@
 struct CompareAndSwapRequest {
   struct Precondition {
     std::string key;
-    uint64_t version = 0;  // 0: the key does not exist
+    uint64_t version = 0;  // 0: the key must not exist
   };
   struct Mutation {
     std::string key;
@@ -29,7 +29,7 @@
   };
   std::vector<Precondition> preconditions;
   std::vector<Mutation> mutations;
-  size_t bytes = 0;  // of the whole request
+  size_t bytes = 0;  // size of the request body
 };
 struct GrantLeaseRequest {
   Micros time_to_live;  // 100 ms to 600 s
@@ -55,8 +55,8 @@
   kInvalid,      // 400
   kCompacted,    // 410
   kRateLimited,  // 429
-  kRefused,      // 503: surely not carried out
-  kUnknown,      // no answer: may have been carried out, or may be yet
+  kRefused,      // 503: not applied and never will be
+  kUnknown,      // no response is sent: it may have been applied or may still be
 };
 
 struct Response {
--- a/src/store/service/disk_recovery.cpp
+++ b/src/store/service/disk_recovery.cpp
@@ -50,7 +50,8 @@
   const DiskRetry::Decision decision = retry_.OnFailure(io::Loop::Now());
   if (decision.log) {
     mailbox_->Post([reason, failing_for = decision.failing_for] {
-      spdlog::error("the disk fails, for {:.1f} s now: {}", failing_for.ToSeconds(), reason);
+      spdlog::error("disk operations have been failing for {:.1f} s: {}", failing_for.ToSeconds(),
+                    reason);
     });
   }
   return decision.delay;
@@ -60,7 +61,8 @@
   const std::optional<Micros> failed_for = retry_.OnSuccess(io::Loop::Now());
   if (!failed_for) return;
   mailbox_->Post([failed_for = *failed_for] {
-    spdlog::info("the disk works again after {:.1f} s", failed_for.ToSeconds());
+    spdlog::info("disk operations succeed again after {:.1f} s of failures",
+                 failed_for.ToSeconds());
   });
 }
 
--- a/src/store/service/disk_recovery.h
+++ b/src/store/service/disk_recovery.h
@@ -1,5 +1,5 @@
-// Carries a state service over a disk that fails: tries again with a backoff until the disk works,
-// and says so in the log. For the thread that owns the engine.
+// Lets a state service survive a failing disk: retries with a backoff until the disk works, and
+// logs the outage. For use on the thread that owns the engine.
 #pragma once
 
 #include <condition_variable>
@@ -14,28 +14,29 @@
 
 namespace badgershore::store {
 
-// Told in the loop, once, when the disk holds damaged data: the service can't go on. `line` names
-// the file and what to do.
+// Called once, in the event loop, when the data on disk is corrupt and the service can't continue.
+// `line` names the file and the remedy.
 using OnDataDamaged = std::function<void(const std::string& line)>;
 
 class DiskRecovery {
  public:
   DiskRecovery(Engine* engine, io::Mailbox* mailbox) : engine_(engine), mailbox_(mailbox) {}
 
-  // Ends all waiting, now and later. From any thread.
+  // Ends every current and future wait. Thread-safe.
   void Stop();
 
-  // Logs what became of a write, and hands it back. kUnknown is for ResolveUnknownWrite to log.
+  // Logs a failure or recovery according to the outcome of a write, and returns that outcome.
+  // kUnknown is logged by ResolveUnknownWrite.
   WriteOutcome Record(WriteOutcome written);
-  // After kUnknown: tries again until the outcome is known; kUnknown only after Stop. Throws a
-  // DataDamagedError.
+  // After kUnknown: retries until the outcome is known; kUnknown only after Stop. Throws a
+  // DataDamagedError if the data is corrupt.
   WriteOutcome ResolveUnknownWrite();
-  // Reads until `read` throws no DiskError that may pass; false only after Stop. Throws a
+  // Retries `read` while it throws a DiskError; false only after Stop. Passes on a
   // DataDamagedError.
   bool Read(const std::function<void()>& read);
 
  private:
-  Micros OnFailure(const std::string& reason);  // how long to wait
+  Micros OnFailure(const std::string& reason);  // the delay until the next attempt
   void OnSuccess();
   bool Wait(Micros delay);  // false: stopped
 
--- a/src/store/service/service.cpp
+++ b/src/store/service/service.cpp
@@ -104,9 +104,9 @@
   if (machine_.writes_blocked() != stalled_) {
     stalled_ = machine_.writes_blocked();
     if (stalled_) {
-      spdlog::error("the disk is full or fails: changes are refused until it takes them again");
+      spdlog::error("the disk is full or failing; refusing changes until a write succeeds");
     } else {
-      spdlog::info("the disk takes changes again; every lease has its full time");
+      spdlog::info("writes to disk succeed again; accepting changes, every lease was renewed");
     }
   }
   if (timer_ && machine_.NextDeadline() < timer_at_) timer_->Set(true);
--- a/src/store/service/service.h
+++ b/src/store/service/service.h
@@ -1,5 +1,5 @@
-// The state service on the loop: HTTP in front, the machine in the middle, the disk on a thread
-// of its own behind.
+// The state service on the event loop: an HTTP server, the state machine, and a thread that writes
+// batches to disk.
 #pragma once
 
 #include <condition_variable>
@@ -18,9 +18,9 @@
 
 namespace badgershore::store {
 
-// Writes batches off the loop's thread. Each is answered in the loop, once, or twice where the
-// first answer was kUnknown; not at all where the disk turns out to be damaged, which is told
-// instead and ends the writing.
+// Writes batches on a thread of its own. The outcome of each is reported in the event loop: once,
+// or twice if the first outcome was kUnknown. If the data on disk is corrupt, that is reported
+// instead and the thread ends.
 class DiskThread {
  public:
   using OnWritten = std::function<void(uint64_t batch, WriteOutcome written)>;
@@ -43,15 +43,15 @@
   std::thread thread_;
 };
 
-// A client's answer in its HTTP form; none: the connection is closed without one.
+// Formats a response for HTTP; none: the connection is closed without a response.
 http::ServerAnswer ToHttp(const Request& request, const std::optional<Response>& answer);
 
 class Service {
  public:
   Service(io::Loop* loop, Engine* engine, Limits limits, size_t max_connections = 4096);
-  // Listens for clients on `addr` (IPV4:PORT) and serves from then on.
+  // Starts to listen on `addr` (IPV4:PORT) and to serve clients.
   [[nodiscard]] Result<void> Start(const std::string& addr);
-  // Call it before Start.
+  // To be called before Start.
   void SetOnDataDamaged(OnDataDamaged on_damaged) { on_damaged_ = std::move(on_damaged); }
   std::string address() const { return server_.address(); }
   const StateMachine& machine() const { return machine_; }
@@ -71,7 +71,7 @@
   io::Slot<bool>* timer_ = nullptr;
   OnDataDamaged on_damaged_;
   http::Server server_;
-  DiskThread disk_;  // last: it ends first
+  DiskThread disk_;  // last member: its thread ends before the others are destroyed
 };
 
 }  // namespace badgershore::store
--- a/src/store/state_machine.cpp
+++ b/src/store/state_machine.cpp
@@ -10,11 +10,11 @@
 constexpr Micros kMinTimeToLive = Millis(100), kMaxTimeToLive = Seconds(600);
 constexpr Micros kMaxWatchWait = Seconds(60);
 constexpr Micros kWriteProbeInterval = Millis(250);
-// A batch takes no more changes than this, so that no write grows without bound.
+// Bounds the size of one write.
 constexpr size_t kMaxBatchChanges = 4096;
 
 size_t JsonBytes(const std::string& key, const VersionedValue& item) {
-  return key.size() + item.value.size() + 80;  // names, stamp and tenancy
+  return key.size() + item.value.size() + 80;  // 80: field names, stamp and tenancy
 }
 
 }  // namespace
@@ -76,7 +76,7 @@
   return a;
 }
 
-// Refusals that need no look at the data.
+// Validates the request and applies the rate limits; neither needs the stored data.
 std::optional<Response> StateMachine::CheckRequest(Micros now, const Request& request) {
   const auto* commit = std::get_if<CompareAndSwapRequest>(&request);
   if (commit) {
@@ -119,7 +119,8 @@
     return OpenWatch(now, id, *watch);
   }
   if (const auto* touch = std::get_if<RenewLeaseRequest>(&request)) {
-    // A renewal needs no write. One that is due, or ends in the batch under way, waits for it.
+    // A renewal needs no write, unless the lease has expired or the batch in progress ends it: then
+    // it is queued for the next batch.
     auto end = lease_expiries_.find(touch->lease);
     if (end == lease_expiries_.end()) return Respond(id, MakeResponse(Outcome::kNotFound));
     if ((writes_blocked_ || now < end->second) && !batch_.leases.contains(touch->lease)) {
@@ -151,7 +152,7 @@
   size_t bytes = 0;
   for (; it != state_.items.end() && HasPrefix(it->first, r.prefix); ++it) {
     const size_t more = JsonBytes(it->first, it->second);
-    // One entry always goes, or a large one could never be read.
+    // At least one entry is returned, as otherwise a large one could never be read.
     if (a.entries.size() >= most || (!a.entries.empty() && bytes + more > kMaxListBytes)) {
       a.has_more = true;
       break;
@@ -164,7 +165,7 @@
 
 bool StateMachine::CollectChanges(const std::string& prefix, uint64_t since,
                                   std::vector<ChangeLogEntry>* rows) const {
-  // A revision still to come was seen by the client of another history: a restored snapshot's.
+  // A revision greater than the current one was issued before an older snapshot was restored.
   if (since < state_.compacted_revision || since > state_.revision) return false;
   auto it =
       std::upper_bound(state_.change_log.begin(), state_.change_log.end(), since,
@@ -181,7 +182,7 @@
     return Respond(id, MakeResponse(Outcome::kCompacted));
   const Micros wait = std::min(r.wait, kMaxWatchWait);
   if (!a.changes.empty() || wait <= Micros{}) return Respond(id, std::move(a));
-  // Everything up to here has been looked through: no need to do that again.
+  // Changes up to the current revision have been checked already.
   watches_[id] = Watch{r.prefix, state_.revision, now + wait};
   watches_by_deadline_.emplace(now + wait, id);
 }
@@ -238,7 +239,7 @@
 
 Response StateMachine::Commit(const CompareAndSwapRequest& r) {
   Response a = MakeResponse(Outcome::kOk);
-  // Whatever the conditions, a lease that has ended is told first.
+  // An ended lease is reported before any failed precondition.
   for (const auto& c : r.mutations) {
     if (c.lease != 0 && !PendingLeaseExists(c.lease))
       return MakeResponse(Outcome::kInvalid, "no such lease");
@@ -305,13 +306,13 @@
       queue_.pop_front();
       pending_responses_.emplace_back(w.id, Evaluate(now, w.request));
     }
-    if (batch_.empty()) {  // nothing to write: what was judged rests on what is durable
+    if (batch_.empty()) {  // nothing to write: the responses depend on durable data only
       for (auto& [id, answer] : pending_responses_) Respond(id, std::move(answer));
       pending_responses_.clear();
       if (queue_.empty()) return;
       continue;
     }
-    // What the log no longer holds is decided with the write, so that a restart agrees.
+    // The compacted revision is part of the batch, so that it is the same after a restart.
     const size_t rows = state_.change_log.size() + batch_.change_log.size();
     if (rows > kMinChangeLogEntries) {
       const size_t first_kept = rows - kMinChangeLogEntries;
@@ -319,7 +320,7 @@
                                       ? state_.change_log[first_kept]
                                       : batch_.change_log[first_kept - state_.change_log.size()];
       batch_.compacted_revision =
-          std::max(batch_.compacted_revision, row.revision - 1);  // revisions go whole
+          std::max(batch_.compacted_revision, row.revision - 1);  // never splits a revision
     }
     write_in_progress_ = true;
     effects_.write = batch_;
@@ -327,7 +328,7 @@
 }
 
 void StateMachine::ApplyDurableBatch(Micros now) {
-  // What the batch takes from each lease's keys, before the items change.
+  // Updates the keys of each lease; needs the old items, so it precedes Apply.
   for (const auto& [key, item] : batch_.items) {
     auto old = state_.items.find(key);
     if (old != state_.items.end() && old->second.lease != 0) {
@@ -361,7 +362,7 @@
     if (written == WriteOutcome::kDurable) {
       ApplyDurableBatch(now);
       for (auto& [id, answer] : pending_responses_) Respond(id, std::move(answer));
-      // As after any outage.
+      // As after any outage, clients may have been unable to renew their leases.
       if (std::exchange(writes_blocked_, false)) RenewAllLeases(now);
     } else {
       for (auto& [id, answer] : pending_responses_) {
--- a/src/store/state_machine.h
+++ b/src/store/state_machine.h
@@ -1,15 +1,15 @@
-// The state service as a state machine: requests and the outcome of durable writes go in,
-// answers and batches to be written come out. It knows no clock, socket or disk.
+// The state service as a deterministic state machine. Its inputs are client requests, write
+// outcomes and the time; its outputs are responses and batches to write. It uses no clock, socket
+// or disk itself.
 //
-// Reads see only what is durable. Changes that arrive while a batch is being written are judged
-// together when that has ended, and go out as the next batch: many commits share one fsync. A
-// batch's changes are judged against what they will find (the durable image under the batch's
-// own changes so far) and applied when the batch is durable.
+// Reads return durable data only. Changes that arrive while a batch is being written are queued,
+// evaluated together when that write completes and written as the next batch, so that many commits
+// share one fsync. A change is evaluated against the durable image with the preceding changes of
+// its batch applied; the batch is applied to the image when it is durable.
 //
-// When a write fails, changes are refused (503) until an empty batch gets through; then every
-// lease has its full time again, as after any outage. A batch whose fate is unknown keeps its
-// place until the storage can say which it was; its clients get no answer, which is the one
-// honest thing to tell them.
+// After a failed write, changes are refused (503) until an empty probe batch is written; then every
+// lease is renewed, as after any outage. While the outcome of a batch is unknown, no other batch is
+// started; the batch's clients get no response, because either response could be wrong.
 #pragma once
 
 #include <deque>
@@ -29,29 +29,30 @@
 
 using RequestId = uint64_t;
 
-// What became of a batch.
+// The outcome of writing a batch.
 enum class WriteOutcome {
   kDurable,
-  kAbsent,   // surely not written, now or later
-  kUnknown,  // will be told later: kDurable or kAbsent for the same batch
+  kAbsent,   // not written and never will be
+  kUnknown,  // kDurable or kAbsent is reported later for the same batch
 };
 
 class StateMachine {
  public:
   struct Effects {
     std::vector<std::pair<RequestId, Response>> responses;
-    std::optional<Batch> write;  // at most one is under way at a time
+    std::optional<Batch> write;  // at most one write is in progress at a time
   };
 
-  // As after a start: every lease has its full time from `now` on.
+  // Every lease in `image` is renewed at `now`.
   StateMachine(Limits limits, StateImage image, Micros now);
 
-  // `now` never goes back. Every request is answered once, by its id, now or later.
+  // `now` never decreases. Each request gets exactly one response, identified by its id, now or
+  // later.
   void Submit(Micros now, RequestId id, Request request);
   void OnWriteCompleted(Micros now, uint64_t batch, WriteOutcome written);
-  // Ends leases and waits that are due. Call it at NextDeadline() at the latest.
+  // Expires leases and ends watches that are due. To be called no later than NextDeadline().
   void Tick(Micros now);
-  // An outage that was not the disk's has ended.
+  // To be called after an outage other than a disk failure, during which clients could not renew.
   void RenewAllLeases(Micros now);
 
   Micros NextDeadline() const;
@@ -81,7 +82,7 @@
   Response Get(const GetRequest& r) const;
   Response Range(const ListRequest& r) const;
   void OpenWatch(Micros now, RequestId id, const WatchRequest& r);
-  // The rows for a watch; false where some have been forgotten.
+  // Collects the changes for a watch; false if some have been compacted away.
   bool CollectChanges(const std::string& prefix, uint64_t since,
                       std::vector<ChangeLogEntry>* rows) const;
   void ServeWatches(Micros now);
@@ -91,7 +92,7 @@
   Response Evaluate(Micros now, const Request& request);
   Response Commit(const CompareAndSwapRequest& r);
   const VersionedValue* FindPending(
-      const std::string& key) const;  // with the batch's changes so far
+      const std::string& key) const;  // including the pending batch's changes
   bool PendingLeaseExists(uint64_t lease) const;
   void Put(const std::string& key, std::optional<VersionedValue> item);
   void RevokeLease(uint64_t lease);
@@ -106,12 +107,11 @@
   std::set<std::pair<Micros, uint64_t>> leases_by_expiry_;
   void SetLeaseExpiry(uint64_t lease, Micros end);
 
-  Batch batch_;  // being judged or under way
+  Batch batch_;  // being evaluated or written
   bool write_in_progress_ = false;
   bool writes_blocked_ = false;
   Micros next_write_probe_;
-  std::vector<std::pair<RequestId, Response>>
-      pending_responses_;  // answers that wait for the batch
+  std::vector<std::pair<RequestId, Response>> pending_responses_;  // sent when the batch is durable
   std::deque<QueuedRequest> queue_;
   std::map<RequestId, Watch> watches_;
   std::set<std::pair<Micros, RequestId>> watches_by_deadline_;
--- a/tests/state_program_test.cpp
+++ b/tests/state_program_test.cpp
@@ -130,7 +130,7 @@
   EXPECT_NE(line.find("is whole"), std::string::npos);
   line.clear();
   EXPECT_EQ(Run("check --data " + root_ + "/none", &line), 1);
-  EXPECT_EQ(line, "badgershore-state: " + root_ + "/none: no state here\n");
+  EXPECT_EQ(line, "badgershore-state: " + root_ + "/none: contains no state database\n");
   line.clear();
   std::ofstream(root_ + "/bad.yaml") << "limits:\n  rsp: 1\n";
   EXPECT_EQ(
@@ -237,7 +237,7 @@
     disk_.Heal();
     const int accepted = PutUntilAccepted(10);
     ASSERT_GE(accepted, 10);
-    EXPECT_NE(Errors().find("the disk fails"), std::string::npos);
+    EXPECT_NE(Errors().find("disk operations have been failing for "), std::string::npos);
     Kill();
     Start();
     EXPECT_EQ(Status("GET", "/store/k/1"), 200);
@@ -277,7 +277,7 @@
   disk_.Heal();
   constexpr int kDataDamaged = 3;  // docs/operations.md
   EXPECT_EQ(ExitCode(), kDataDamaged);
-  const std::string line = log + ": byte 0: damaged; restore a snapshot";
+  const std::string line = log + ": byte 0: corrupt; restore a snapshot";
   EXPECT_NE(Errors().find(line), std::string::npos) << Errors();
   std::string said;
   EXPECT_EQ(Run("serve --listen 127.0.0.1:0 --data " + root_ + "/data", &said), kDataDamaged);
--- a/tests/store_disk_failure_test.cpp
+++ b/tests/store_disk_failure_test.cpp
@@ -285,7 +285,7 @@
   const std::string bytes = ReadBytes(Logs()[0]);
   WriteBytes(Logs()[1], bytes.substr(0, CheckLog(bytes).good_bytes));
   EXPECT_EQ(Refusal(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).bad_at) +
-                           ": damaged; restore a snapshot");
+                           ": corrupt; restore a snapshot");
 }
 
 // Writes until it is known what became of the batch.
--- a/tests/store_disk_test.cpp
+++ b/tests/store_disk_test.cpp
@@ -221,7 +221,7 @@
       Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
       EXPECT_EQ(engine.Load(), After(11)) << cut;
       ASSERT_EQ(engine.recovery_warnings().size(), 1u) << cut;
-      EXPECT_NE(engine.recovery_warnings()[0].find("a torn end"), std::string::npos);
+      EXPECT_NE(engine.recovery_warnings()[0].find("truncated a torn write"), std::string::npos);
     }
   }
 }
