--- a/src/replication/core/messages.h
+++ b/src/replication/core/messages.h
@@ -1,8 +1,8 @@
-// What replicas of the state service tell each other, and what a replica keeps on its disk.
+// Messages between replicas of the state service, and a replica's persistent state.
 //
-// The replicated log is a chain of batches (store/model.h). A position names a batch and, with it,
-// the whole state after it: only the leader of `term` makes batches of that term, each on top of
-// exactly one earlier position.
+// The replicated log is a chain of batches (store/model.h). A position identifies a batch and thus
+// the state after it: only the leader of `term` creates batches of that term, and each batch
+// follows exactly one earlier position.
 #pragma once
 
 #include <cstdint>
@@ -20,14 +20,14 @@
   auto operator<=>(const Position&) const = default;
 };
 
-// A batch and where it stands in the chain. Without one it is what a leader begins its term with:
-// it changes nothing, and what stands before it is committed with it.
+// A log entry: a batch and its place in the chain. An entry without a batch is the first one of a
+// leader's term: it changes nothing, and committing it commits all entries before it.
 struct Entry {
   Position previous, position;
   std::optional<store::Batch> batch;
 };
 
-// For whom this replica has voted in `term`; no candidate: for nobody, and it will not in that
+// This replica's vote in `term`. An empty candidate: it has not voted and will not vote in that
 // term.
 struct Vote {
   uint64_t term = 0;
@@ -35,17 +35,19 @@
   bool operator==(const Vote&) const = default;
 };
 
-// What the disk of a replica holds beside the state itself.
+// A replica's persistent metadata, stored with the state.
 struct Stored {
   Vote vote;
-  Position position;    // of the last batch that the state contains
-  std::string history;  // the same on all replicas of one service; empty: the disk was empty
-  // Votes, and counts for majorities. A replica that has lost its disk does neither until it has
-  // the leader's state: what it had acknowledged before would be missing from the majority.
+  Position position;    // of the last batch applied to the state
+  std::string history;  // identifies the service, the same on all its replicas; empty: new disk
+  // Whether it votes and counts towards a quorum. A replica that has lost its disk does neither
+  // until it has the leader's state: entries that it had acknowledged could be missing from the
+  // quorum.
   bool member = false;
 };
 
-// A candidate asks for a vote. A probe asks whether a vote would be given, and binds nobody.
+// A candidate's request for a vote. With `probe` it is a pre-vote: it asks whether the vote would
+// be granted, without any commitment.
 struct VoteRequest {
   uint64_t term = 0;
   bool probe = false;
@@ -56,14 +58,15 @@
   bool probe = false, granted = false;
 };
 
-// From the leader of `term`: the next batch, or none, which is a heartbeat. `sent` is the leader's
-// own clock; it comes back with the answer.
+// From the leader of `term`: the next entry, or none for a heartbeat. `sent` is the time on the
+// leader's clock; the response returns it.
 struct Append {
   uint64_t term = 0;
   Micros sent;
   std::optional<Entry> entry;
 };
-// A part of the leader's whole state, for a replica whose position is not in the leader's chain.
+// A chunk of a snapshot of the leader's state, for a replica that the leader's recent entries can't
+// bring up to date.
 struct ImagePart {
   uint64_t term = 0;
   Micros sent;
@@ -71,13 +74,14 @@
   uint64_t offset = 0, size = 0;
   std::string bytes;
 };
-// To an Append or an ImagePart: that leader is followed, and so much is durable here.
+// The response to an Append or an ImagePart: the sender follows that leader, and its state is
+// durable up to `position`.
 struct AppendAnswer {
   uint64_t term = 0;
   Micros sent;
   Position position;
   bool member = false;
-  uint64_t image_bytes = 0;  // of the image under way, from its beginning
+  uint64_t image_bytes = 0;  // received so far of the snapshot in transfer
 };
 
 struct Message {
--- a/src/replication/core/replica.cpp
+++ b/src/replication/core/replica.cpp
@@ -6,9 +6,10 @@
 namespace badgershore::replication {
 namespace {
 
-// Clocks of two machines run apart by 0.05% at most; the rest is for timers.
+// The leader lease as a share of the followers' lease. Clocks of two machines drift apart by at
+// most 0.05%; the rest of the margin is for timer inaccuracy.
 constexpr double kLeaseShare = 0.98;
-// A leader that can commit nothing gives way after so many leases.
+// A leader that can't commit steps down after this many leases.
 constexpr double kPatienceLeases = 2;
 constexpr Micros kResendAfter = Millis(500);
 constexpr size_t kKeptEntries = 512;
@@ -21,7 +22,7 @@
   for (const auto& [key, item] : entry.batch->items) {
     bytes += key.size() + (item ? item->value.size() : 0);
   }
-  return bytes * 2;  // each change stands in the log too
+  return bytes * 2;  // each change is in the change log as well
 }
 
 }  // namespace
@@ -35,7 +36,8 @@
   Rest(now);
 }
 
-// Until it stands: between one and two leases, so that two seldom stand together.
+// Resets the election timer to a random one to two leases, so that two replicas rarely start an
+// election at the same time.
 void Replica::Rest(Micros now) {
   random_ = random_ * 6364136223846793005ULL + 1442695040888963407ULL;
   const double share = static_cast<double>(random_ >> 40) / (1 << 24);
@@ -48,7 +50,7 @@
   for (const auto& [name, peer] : peers_) {
     if (peer.member) heard.push_back(peer.heard_sent);
   }
-  const size_t wanted = Majority() - 1;  // beside this one
+  const size_t wanted = Majority() - 1;  // without this one
   if (heard.size() < wanted) return false;
   if (wanted == 0) return true;
   std::sort(heard.rbegin(), heard.rend());
@@ -94,7 +96,7 @@
   Rest(now);
   leader_.clear();
   if (role_ != Role::kFollower) StepDown(now, term_);
-  // Whoever came without its disk, or has just been started, waits to be told.
+  // A replica without its state, or one that has just started, waits for a leader's message.
   if (stored_.member && now >= started_ + settings_.lease) Probe(now);
 }
 
@@ -102,7 +104,7 @@
   const bool known = std::find(settings_.replicas.begin(), settings_.replicas.end(),
                                message.from) != settings_.replicas.end();
   if (!known || message.from == settings_.self) return;
-  // Two services that were made apart must never mix; an empty disk belongs to none yet.
+  // Replicas of different services must never mix; a new disk belongs to none yet.
   const bool other =
       !stored_.history.empty() && !message.history.empty() && stored_.history != message.history;
   if (other) return;
@@ -131,7 +133,7 @@
 }
 
 void Replica::Stand(Micros) {
-  if (writing_) return;  // tries again when it is due
+  if (writing_) return;  // retries at the next election timeout
   role_ = Role::kCandidate;
   ++term_;
   votes_.clear();
@@ -141,7 +143,7 @@
 
 bool Replica::WouldVote(Micros now, const std::string& from, const VoteRequest& request) const {
   if (!stored_.member) return false;
-  // Its own word to a leader, given now or in a life before this one.
+  // The lease promised to a leader, either by this process or by the one before a restart.
   if (now < heard_ + settings_.lease || now < started_ + settings_.lease) return false;
   if (MayServe(now)) return false;
   if (request.position < stored_.position) return false;
@@ -213,7 +215,8 @@
 
 // Followers.
 
-// False: a leader of an earlier term, which is told.
+// False if the leader's term is stale, in which case it is told the current term, or if the message
+// names no service.
 bool Replica::Accept(Micros now, const std::string& from, uint64_t term,
                      const std::string& history) {
   if (term < term_) {
@@ -247,7 +250,7 @@
     image_.clear();
     image_position_ = part.position;
   }
-  // What it holds may have been counted: it never goes back behind that.
+  // Never installs an older state: the current one may have counted towards a commit.
   const bool newer = stored_.history.empty() || part.position > stored_.position;
   if (writing_ || !newer || part.offset != image_.size()) return Answer(message.from, part.sent);
   image_ += part.bytes;
@@ -256,7 +259,8 @@
   Ask(StoreImage{std::exchange(image_, {}), part.position, message.history});
 }
 
-// It has the leader's state, and nobody counts any more on what its last life had promised.
+// Makes this replica a member once it has the leader's state and votes or acknowledgements that it
+// gave before it lost its disk no longer count in any election.
 void Replica::JoinIfDue(Micros now) {
   const bool has_state = !stored_.history.empty() && stored_.position.index > 0;
   if (stored_.member || writing_ || !has_state) return;
@@ -270,7 +274,7 @@
   const auto answering = std::exchange(answering_, std::nullopt);
   const auto voting_for = std::exchange(voting_for_, std::nullopt);
   if (!ok) {
-    // A disk that fails neither leads nor acknowledges; what it holds is as before.
+    // With a failing disk it must neither lead nor acknowledge; the data on disk is unchanged.
     return StepDown(now, term_);
   }
   if (const auto* vote = std::get_if<StoreVote>(&write)) {
@@ -338,14 +342,14 @@
 void Replica::Heartbeat(Micros now) {
   heartbeat_at_ = now + settings_.heartbeat;
   if (MayServe(now)) majority_at_ = now;
-  // Cut from the majority it can do nothing for its clients, and another may lead already.
+  // Without a majority it can't serve clients, and another replica may lead already.
   if (now > majority_at_ + settings_.lease.Scaled(kPatienceLeases)) return StepDown(now, term_);
-  // Its own disk does not take the entry: it commits nothing and keeps the others from leading.
+  // Its disk does not complete the write: it can't commit, but its heartbeats prevent an election.
   const bool waits_for_disk = pending_ && !own_durable_;
   if (waits_for_disk && now > proposed_at_ + settings_.lease.Scaled(kPatienceLeases)) {
     return StepDown(now, term_);
   }
-  // An earlier term's batches are committed only by an entry of this term on top of them.
+  // Entries of earlier terms are committed only by committing a later entry of this term.
   if (!ready_ && !pending_ && !writing_) {
     Begin(now, Entry{last_, {term_, last_.index + 1}, std::nullopt});
   }
@@ -375,7 +379,7 @@
   if (role_ == Role::kLeader) Advance(now, message.from, &peer);
 }
 
-// Sends what the follower lacks, one message at a time.
+// Sends the follower the next entry or snapshot chunk that it lacks, one message at a time.
 void Replica::Advance(Micros now, const std::string& name, Peer* peer) {
   if (!peer->known) return;
   if (peer->position == last_ && !peer->blank) {
@@ -399,7 +403,7 @@
   if (!peer->blank && sending_position_ <= peer->position) sending_.clear();
   if (sending_.empty()) {
     peer->image_offset = 0;
-    // A state of an earlier term may be older than what the follower holds.
+    // A snapshot of an earlier term's position may be older than the follower's state.
     if (stored_.position.term < term_) return;
     out_.load_image = out_.load_image || !std::exchange(loading_, true);
     return;
--- a/src/replication/core/replica.h
+++ b/src/replication/core/replica.h
@@ -1,15 +1,16 @@
-// One replica of the state service as a state machine: who leads, which batches are committed, and
-// whether this replica may answer clients. It knows no clock, socket or disk.
+// One replica of the state service as a deterministic state machine: leader election, replication
+// of batches, and whether this replica may respond to clients. It uses no clock, socket or disk
+// itself.
 //
 // The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm", 2014) with one batch under way at a time, so that a follower holds the state after
-// some position and needs no log: where its position is not in the leader's chain it takes the
-// leader's whole state. Votes are probed first (Ongaro's thesis, 9.6), and a replica that has heard
-// a leader votes for nobody for a lease (6.4.1), so that a leader may answer reads by itself while
-// a majority has heard it within that time.
+// Algorithm", 2014) with at most one uncommitted batch at a time. A follower therefore stores the
+// state at some position and no log; if its position is not among the leader's recent entries, it
+// installs a snapshot of the leader's state. An election starts with a pre-vote (Ongaro's thesis,
+// 9.6). A replica grants no vote within a lease of the last message from a leader (6.4.1), so a
+// leader may serve reads alone while a majority has received a message from it within that time.
 //
-// One disk write is under way at a time; what comes meanwhile and would need another is dropped,
-// and its sender tries again.
+// At most one disk write is in progress. A message that would need another one is dropped, and its
+// sender retries.
 #pragma once
 
 #include <deque>
@@ -25,16 +26,17 @@
 
 struct Settings {
   std::string self;
-  std::vector<std::string> replicas;  // all of them, this one too; an odd number
+  std::vector<std::string> replicas;  // all replicas including this one; an odd number
   Micros heartbeat = Millis(150);
-  // So long a follower promises its vote to nobody else. Elections begin one to two leases after
-  // the leader was last heard.
+  // For this long after a leader's message a follower grants no vote. The election timeout is one
+  // to two leases.
   Micros lease = Millis(1000);
-  // A replica that came without its disk counts again no sooner: votes of its last life are over.
+  // A replica that started with an empty disk becomes a member no sooner than this after its start,
+  // when elections in which it may have voted before it lost its disk are over.
   Micros rejoin_after = Seconds(10);
 };
 
-// What the disk is to do; all of it durable, in one write, before OnStored.
+// Disk writes. Each is one atomic write, durable before OnStored is called.
 struct StoreVote {
   Vote vote;
   bool member = false;
@@ -53,7 +55,7 @@
 struct Effects {
   std::vector<std::pair<std::string, Message>> send;
   std::optional<Write> write;
-  // The leader's state is wanted, for OnImage: the disk's, behind all writes so far.
+  // Requests OnImage with the state on disk, read after all writes so far.
   bool load_image = false;
   std::vector<Position> committed;
 };
@@ -64,21 +66,21 @@
 
   Replica(Settings settings, Stored stored, uint64_t seed, Micros now);
 
-  // Inputs. `now` never goes back.
+  // Inputs. `now` never decreases.
   void Tick(Micros now);
   void OnMessage(Micros now, const Message& message);
-  // The write that was asked for last is durable; `ok` false: it surely is not, and never will be.
+  // Completes the write in progress. `ok` false: it is not durable and never will be.
   void OnStored(Micros now, bool ok);
-  // The leader's encoded state at a position.
+  // The encoded state that Effects::load_image requested, and its position.
   void OnImage(Micros now, Position position, std::string bytes);
-  // The next batch of the leader: only while CanPropose. Its position comes back as committed, or
-  // this replica stops leading.
+  // Appends the leader's next batch; only while CanPropose. Either its position is reported in
+  // Effects::committed or this replica stops leading.
   Position Propose(Micros now, store::Batch batch);
 
   bool CanPropose() const { return ready() && !pending_ && !writing_; }
-  // Leads, and everything that was ever committed is in its state.
+  // Leads, and has committed an entry of its term: its state contains all committed batches.
   bool ready() const { return role_ == Role::kLeader && ready_; }
-  // Nobody else can lead now: an answer that leaves is not older than any other replica's.
+  // Holds the leader lease: no other replica can lead now, so responses sent now are not stale.
   bool MayServe(Micros now) const;
   Micros NextDeadline() const;
   Effects Take() { return std::exchange(out_, Effects{}); }
@@ -86,20 +88,20 @@
   Role role() const { return role_; }
   uint64_t term() const { return term_; }
   const Stored& stored() const { return stored_; }
-  const std::string& leader() const { return leader_; }  // as far as known; empty: nobody
-  // All that it believes, in one line, for logs and for explorations.
+  const std::string& leader() const { return leader_; }  // empty: unknown
+  // The complete internal state in one line, for logs and state exploration.
   std::string Describe(Micros now) const;
-  // Replicas that have answered within a lease, this one too; for operators.
+  // The number of replicas that have responded within a lease, including this one; for operators.
   size_t reachable(Micros now) const;
 
  private:
   struct Peer {
-    Position position;   // durable there, as far as it said
-    bool known = false;  // it has said so in this term
+    Position position;   // durable there, as last reported
+    bool known = false;  // `position` was reported in this term
     bool member = false;
-    bool blank = false;  // its disk was empty: whatever its position, it needs the state
-    Micros heard_sent{-1000000000};  // the sending of the newest message that it has answered
-    Micros entry_sent{-1000000000};  // when it was last sent more than a heartbeat
+    bool blank = false;              // its disk is new: it needs a snapshot whatever its position
+    Micros heard_sent{-1000000000};  // when the newest message that it has responded to was sent
+    Micros entry_sent{-1000000000};  // when an entry or a snapshot chunk was last sent
     bool wants_image = false;
     uint64_t image_offset = 0;
   };
@@ -145,30 +147,30 @@
   Role role_ = Role::kFollower;
   uint64_t term_ = 0;
   std::string leader_;
-  Micros started_, heard_{-1000000000};  // heard: a leader of this term
-  Micros election_at_;                   // a follower stands then
-  std::map<std::string, bool> votes_;    // of this probe or candidacy
+  Micros started_, heard_{-1000000000};  // heard_: the last message of this term's leader
+  Micros election_at_;                   // when a follower starts an election
+  std::map<std::string, bool> votes_;    // of this pre-vote or election
   std::optional<Write> writing_;
   struct Answering {
     std::string to;
     Micros sent;
   };
-  std::optional<Answering> answering_;     // once the write under way is durable
-  std::optional<std::string> voting_for_;  // the same, for a vote
-  std::string image_;                      // being received, of this position
+  std::optional<Answering> answering_;     // sent when the write in progress is durable
+  std::optional<std::string> voting_for_;  // candidate of the vote being written
+  std::string image_;                      // the snapshot being received
   Position image_position_;
-  // While it leads.
+  // Used only while leading.
   std::map<std::string, Peer> peers_;
-  std::optional<Position> pending_;  // proposed and not committed
+  std::optional<Position> pending_;  // proposed and not yet committed
   bool ready_ = false, own_durable_ = false;
-  Position last_;             // of its chain
-  std::deque<Entry> recent_;  // the end of the chain, for followers that lag a little
+  Position last_;             // of the last entry appended
+  std::deque<Entry> recent_;  // the newest entries, for followers that lag slightly
   size_t recent_bytes_ = 0;
   Micros heartbeat_at_;
-  Micros majority_at_;  // a majority had heard it then
-  Micros proposed_at_;  // when `pending_` went to its disk and to the others
+  Micros majority_at_;  // when it last held the leader lease
+  Micros proposed_at_;  // when `pending_` was appended
   bool loading_ = false;
-  std::string sending_;  // the encoded state, while a peer wants it
+  std::string sending_;  // the snapshot, while a peer needs it
   Position sending_position_;
   Effects out_;
 };
--- a/src/replication/service/codec.h
+++ b/src/replication/service/codec.h
@@ -1,5 +1,5 @@
-// Replicas' messages, states and disk notes as bytes. Each begins with the number of its form;
-// another one is not read.
+// Binary encoding of messages, snapshots and persistent metadata of replicas. Each begins with a
+// format number; an unknown one is rejected.
 #pragma once
 
 #include <optional>
@@ -14,7 +14,7 @@
 std::string Encode(const store::StateImage& image);
 std::string Encode(const Stored& stored);
 
-// Nothing where the bytes are of another form or cut short.
+// Nothing if the bytes have another format or are truncated.
 std::optional<Message> DecodeMessage(std::string_view bytes);
 std::optional<store::StateImage> DecodeImage(std::string_view bytes);
 std::optional<Stored> DecodeStored(std::string_view bytes);
--- a/src/replication/service/replica_set.cpp
+++ b/src/replication/service/replica_set.cpp
@@ -21,8 +21,8 @@
   ReplicaSet set;
   top.Each("replicas", [&](config::YamlMap m) {
     ReplicaAddress replica{m.Text("name"), m.Text("client"), m.Text("peer")};
-    if (set.Find(replica.name)) m.Fail("name", "a name that no other replica has");
-    if (replica.client == replica.peer) m.Fail("peer", "another address than `client`");
+    if (set.Find(replica.name)) m.Fail("name", "a unique replica name");
+    if (replica.client == replica.peer) m.Fail("peer", "an address different from `client`");
     m.NoOthers();
     set.replicas.push_back(std::move(replica));
   });
--- a/src/replication/service/replica_set.h
+++ b/src/replication/service/replica_set.h
@@ -1,4 +1,4 @@
-// The replicas of one state service, as their operators list them (YAML); the same file for all.
+// The replicas of one state service, from the operators' YAML file, which is the same for all.
 #pragma once
 
 #include <string>
@@ -10,8 +10,8 @@
 
 struct ReplicaAddress {
   std::string name;
-  std::string client;  // where controllers reach it
-  std::string peer;    // where the other replicas do
+  std::string client;  // the address for controllers
+  std::string peer;    // the address for other replicas
 };
 
 struct ReplicaSet {
--- a/src/replication/service/service.cpp
+++ b/src/replication/service/service.cpp
@@ -15,7 +15,7 @@
 
 constexpr Micros kTick = Millis(10);
 constexpr Micros kMessageTimeout = Seconds(1);
-// The longest watch, and a moment for its way.
+// The longest watch (60 s) and a margin for the network.
 constexpr Micros kForwardTimeout = Seconds(65);
 constexpr int kMostUnderWay = 16;
 constexpr size_t kKeptConnections = 8;
@@ -35,17 +35,19 @@
   return settings;
 }
 
-// An empty directory is one whose disk was lost, or a new replica's: it asks for the state.
+// Loads a replica's metadata. An empty directory, of a lost disk or a new replica, yields none: the
+// replica then needs the leader's state.
 Stored StoredOf(store::Engine* engine) {
   const std::string note = engine->LoadOwnerMetadata();
   if (!note.empty()) {
     const std::optional<Stored> stored = DecodeStored(note);
-    if (!stored) throw store::DiskError("the replica's record is of a form that is not known here");
+    if (!stored) throw store::DiskError("the replica's metadata record has an unknown format");
     return *stored;
   }
   if (engine->Load().revision == 0) return {};
   throw store::DiskError(
-      "the directory holds a state that is no replica's: run init on every replica's copy first");
+      "the directory holds the state of an unreplicated service: run init on every replica's copy "
+      "first");
 }
 
 std::string RoleName(Replica::Role role) {
@@ -97,7 +99,7 @@
   }
 }
 
-// A job that waits for the disk to work again must not keep the process from ending.
+// Ends a disk job that waits for a failing disk, so that the process can exit.
 ReplicatedService::~ReplicatedService() { disk_recovery_.Stop(); }
 
 Result<void> ReplicatedService::Start() {
@@ -157,7 +159,7 @@
 }
 
 void ReplicatedService::StoreOnDisk(const Write& write) {
-  // The note after this write; the core takes it over when it is durable.
+  // The metadata as of this write; the core updates its own when the write is durable.
   Stored after = replica_.stored();
   if (const auto* vote = std::get_if<StoreVote>(&write)) {
     after.vote = vote->vote;
@@ -171,11 +173,12 @@
   }
   PostDiskJob([this, write, note = Encode(after)]() -> std::function<void()> {
     store::WriteOutcome written = disk_recovery_.Record(WriteToEngine(write, note));
-    // What can't be found out must not be guessed: nothing else is done until it is known.
+    // The core must not act on a guess, so the disk thread does nothing else until the outcome is
+    // known.
     if (written == store::WriteOutcome::kUnknown) written = disk_recovery_.ResolveUnknownWrite();
     if (written == store::WriteOutcome::kUnknown) return [] {};
     return [this, ok = written == store::WriteOutcome::kDurable] {
-      if (!ok) spdlog::error("the disk takes no changes");
+      if (!ok) spdlog::error("a write to disk failed");
       replica_.OnStored(io::Loop::Now(), ok);
       Flush();
     };
@@ -206,7 +209,7 @@
   });
 }
 
-// Behind all writes so far, so the state and the note's position belong together.
+// Runs after all earlier writes, so that the state and the metadata's position are consistent.
 void ReplicatedService::LoadImage() {
   PostDiskJob([this]() -> std::function<void()> {
     std::optional<Stored> stored;
@@ -227,7 +230,7 @@
   if (replica_.role() != logged_role_) {
     logged_role_ = replica_.role();
     const bool follows = logged_role_ == Replica::Role::kFollower;
-    spdlog::info("{} in term {}", follows ? "does not lead" : RoleName(logged_role_),
+    spdlog::info("replication role: {} in term {}", follows ? "follower" : RoleName(logged_role_),
                  replica_.term());
   }
   const bool leads = replica_.ready();
@@ -246,13 +249,13 @@
 
 void ReplicatedService::StartMachine(uint64_t term, store::StateImage image) {
   if (!replica_.ready() || replica_.term() != term) return;
-  spdlog::info("serves in term {}: {} keys at revision {}", term, image.items.size(),
-               image.revision);
+  spdlog::info("serving clients as leader of term {}: {} keys at revision {}", term,
+               image.items.size(), image.revision);
   machine_ = std::make_unique<store::StateMachine>(limits_, std::move(image), io::Loop::Now());
   machine_term_ = term;
 }
 
-// Whoever waits here for an answer gets none: what became of the request is decided elsewhere.
+// Waiting clients get no response, because the outcome of their requests is unknown here.
 void ReplicatedService::DropMachine() {
   machine_.reset();
   waiting_batch_.reset();
@@ -261,7 +264,8 @@
 }
 
 io::Task<void> ReplicatedService::Post(Peer* peer, std::string body) {
-  if (peer->under_way >= kMostUnderWay) co_return;  // it does not answer; the next will do
+  if (peer->under_way >= kMostUnderWay)
+    co_return;  // the peer is not responding; a later message will be sent
   ++peer->under_way;
   co_await peer->messages->Request("POST", "/message", std::move(body), kMessageTimeout);
   --peer->under_way;
@@ -270,12 +274,14 @@
 io::Task<http::ServerAnswer> ReplicatedService::HandlePeer(http::Message request) {
   const std::optional<Message> message = DecodeMessage(request.body);
   if (!message) {
-    spdlog::error("a message of a form that this version does not read");
+    spdlog::error("rejected a replica message with an unknown format");
     co_return http::ServerAnswer{400, R"({"error":"not a replica's message"})", 0};
   }
   const bool other = !message->history.empty() && !replica_.stored().history.empty() &&
                      message->history != replica_.stored().history;
-  if (other) spdlog::error("{} belongs to another state service", message->from);
+  if (other)
+    spdlog::error("replica {} belongs to another state service; ignoring its message",
+                  message->from);
   replica_.OnMessage(io::Loop::Now(), *message);
   Flush();
   co_return http::ServerAnswer{200, "{}", 0};
@@ -307,7 +313,7 @@
   const bool refused = answered && ((*answer)->outcome == store::Outcome::kRefused ||
                                     (*answer)->outcome == store::Outcome::kRateLimited ||
                                     (*answer)->outcome == store::Outcome::kInvalid);
-  // What was read or decided here may be old once another replica can lead.
+  // The response may be stale once another replica can lead.
   if (!answered || (!refused && !Serves())) co_return store::ToHttp(call.request, std::nullopt);
   co_return store::ToHttp(call.request, *answer);
 }
--- a/src/replication/service/service.h
+++ b/src/replication/service/service.h
@@ -1,9 +1,9 @@
-// One replica of the state service on the loop: clients in front, the other replicas beside, the
-// replication core and, while this replica leads, the store's machine in the middle, the disk on a
-// thread behind.
+// One replica of the state service on the event loop: HTTP servers for clients and for the other
+// replicas, the replication core, the store's state machine while this replica leads, and a thread
+// for the disk.
 //
-// A replica that does not lead hands clients' requests on to the one that does. An answer leaves
-// only while no other replica can lead; else the connection is closed without one.
+// A replica that does not lead forwards client requests to the leader. The leader responds only
+// while no other replica can lead; otherwise it closes the connection without a response.
 #pragma once
 
 #include <memory>
@@ -26,14 +26,14 @@
 
 class ReplicatedService {
  public:
-  // `name`: which of the set this is. `engine` belongs to it from now on. A store::DiskError where
-  // the directory holds a state that is not a replica's.
+  // `name`: this replica's name in the set. Nothing else may use `engine` from now on. Throws a
+  // store::DiskError if the directory holds the state of an unreplicated service.
   ReplicatedService(io::Loop* loop, store::Engine* engine, store::Limits limits,
                     const ReplicaSet& set, const std::string& name, size_t max_connections);
   ~ReplicatedService();
-  // Listens for clients and for the other replicas, and takes part from then on.
+  // Starts to listen for clients and replicas, and to take part in the protocol.
   [[nodiscard]] Result<void> Start();
-  // Call it before Start.
+  // To be called before Start.
   void SetOnDataDamaged(store::OnDataDamaged on_damaged) { on_damaged_ = std::move(on_damaged); }
   const std::string& address() const { return self_.client; }
 
@@ -41,7 +41,7 @@
   struct Peer {
     ReplicaAddress address;
     std::unique_ptr<http::Client> messages, forwards;
-    int under_way = 0;  // messages
+    int under_way = 0;  // messages without a response yet
   };
   struct Proposed {
     Position position;
@@ -55,10 +55,11 @@
   http::ServerAnswer StatusAnswer() const;
   io::Task<void> Ticks();
   io::Task<void> Post(Peer* peer, std::string body);
-  // Carries out what the core and the machine have asked for.
+  // Executes the effects of the replication core and the state machine.
   void Flush();
   void FlushMachine();
-  // Runs `job` on the disk's thread, behind all jobs so far, and what it returns in the loop.
+  // Runs `job` on the disk thread after all earlier jobs, then the function that it returns in the
+  // event loop.
   void PostDiskJob(io::Worker::Job job);
   void StoreOnDisk(const Write& write);
   store::WriteOutcome WriteToEngine(const Write& write, const std::string& note);
@@ -75,7 +76,7 @@
   io::Mailbox mailbox_;
   Replica replica_;
   std::map<std::string, Peer> peers_;
-  // While it leads and has read its state.
+  // Set while this replica leads and has loaded its state.
   std::unique_ptr<store::StateMachine> machine_;
   uint64_t machine_term_ = 0, loading_term_ = 0;
   std::optional<store::Batch> waiting_batch_;
@@ -87,11 +88,11 @@
   http::Server clients_, messages_;
   store::OnDataDamaged on_damaged_;
   store::DiskRecovery disk_recovery_;
-  io::Worker disk_;  // last: it ends first
+  io::Worker disk_;  // last member: its thread ends before the others are destroyed
 };
 
-// What a replica's directory is to hold before its first start: `content` is the state's digest,
-// the same on all replicas.
+// The metadata that a replica's directory needs before its first start. `content` is a digest of
+// the initial state, which is the same on all replicas.
 Stored FirstStored(const ReplicaSet& set, const std::string& content);
 
 }  // namespace badgershore::replication
