--- a/src/config/cells.cpp
+++ b/src/config/cells.cpp
@@ -17,16 +17,16 @@
   top.Each("cells", [&](YamlMap m) {
     CellSite cell;
     cell.name = m.Text("name");
-    if (!names.insert(cell.name).second) m.Fail("name", "a name that no other cell has");
+    if (!names.insert(cell.name).second) m.Fail("name", "a unique cell name");
     cell.initial_member = m.Flag("founding", true);
     cell.draining = m.Flag("drains", false);
     cell.successor = m.Text("heir", "");
     cell.addresses = m.Texts("backs");
     if (cell.addresses.empty() && cell.successor.empty())
-      m.Fail("backs", "its controllers' addresses");
+      m.Fail("backs", "the addresses of its controllers");
     for (const std::string& addr : cell.addresses) {
       if (addr.find(':') == std::string::npos) m.Fail("backs", "addresses as HOST:PORT");
-      if (!backs.insert(addr).second) m.Fail("backs", "addresses that no other cell has");
+      if (!backs.insert(addr).second) m.Fail("backs", "addresses that no other cell uses");
       if (addr == back) plan.self = cell.name;
     }
     founding += cell.initial_member;
@@ -39,11 +39,11 @@
   if (plan.self.empty()) top.Fail("cells", "a cell with this controller's address " + back);
   for (const CellSite& c : plan.cells) {
     if (c.successor.empty()) continue;
-    if (c.name == plan.self) top.Fail("cells", "a cell with controllers not to have an heir");
+    if (c.name == plan.self) top.Fail("cells", "no heir for a cell that still has controllers");
     bool good = false;
     for (const CellSite& other : plan.cells)
       good |= other.name == c.successor && other.successor.empty();
-    if (!good) top.Fail("cells", "the heir of " + c.name + " to be a cell that is not gone");
+    if (!good) top.Fail("cells", "the heir of " + c.name + " to be a cell without an heir");
   }
   top.NoOthers();
   return plan;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,7 +15,7 @@
 using wire::Find;
 using wire::Value;
 
-// Reads fields of one object; every complaint names the file and the path of the field.
+// Reads the fields of one JSON object; every error names the file and the path of the field.
 class Reader {
  public:
   Reader(const Value& v, std::string file, std::string path)
@@ -125,7 +125,7 @@
   s.gang_failure_timeout = workers.Span("gang_peer_s");
   s.cancel_deadline = workers.Span("cancel_s");
   if (s.cancel_deadline <= s.agent_lease) {
-    workers.Fail("cancel_s", "more than lease_s, or a cancellation can't be kept");
+    workers.Fail("cancel_s", "more than lease_s, or a cancellation can't be guaranteed");
   }
   const Reader state = params.Object("state");
   s.state_rps = state.Number("rps", 1, 1e9);
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -1,4 +1,4 @@
-// The platform's settings file (JSON) and the operators' own (YAML), checked.
+// Reads and validates the platform's settings file (JSON) and the operators' settings (YAML).
 #pragma once
 
 #include <stdexcept>
@@ -9,13 +9,13 @@
 
 namespace badgershore::config {
 
-// What is wrong, in one line: the file, the field and what was expected.
+// A one-line message: the file, the field and the expected value.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The whole file; an Error where it can't be read.
+// Returns the contents of the file; throws an Error if it can't be read.
 std::string ReadFile(const std::string& file);
 
 PlatformSettings ParsePlatform(const std::string& text, const std::string& file);
@@ -24,7 +24,7 @@
 Options ParseOptions(const std::string& text, const std::string& file);
 Options LoadOptions(const std::string& file);
 
-// The cells, and which of them this controller is of by its own back address.
+// The cells; `back` is this controller's peer address, which determines its own cell.
 CellsPlan ParseCells(const std::string& text, const std::string& file, const std::string& back);
 CellsPlan LoadCells(const std::string& file, const std::string& back);
 
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 const char* const kSmallSite =
-    R"(about: A small site to try things on; nothing arrives but what you submit
+    R"(about: A small site for experiments; its only jobs are those that you submit
 duration_s: 86400
 settle_s: 1
 site:
@@ -102,7 +102,7 @@
     t.who = m.Text("who");
   }
   if (t.who == "followers" && t.kind != Trouble::Kind::kCut) {
-    m.Fail("who", "leader, all or node-0 to node-2; followers are for cuts");
+    m.Fail("who", "leader, all or node-0 to node-2; followers only for a cut");
   }
   if (t.kind == Trouble::Kind::kLimit) {
     t.team = m.Text("team");
@@ -116,7 +116,7 @@
   return t;
 }
 
-// What a scenario's site is where it does not say otherwise.
+// Defaults for a scenario's site.
 PlatformSettings SmallSiteSettings() {
   PlatformSettings s;
   s.heartbeat_interval = Seconds(1);
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -1,4 +1,4 @@
-// A scenario to rehearse, read from YAML: the site, what arrives, and what goes wrong when.
+// Test scenarios, read from YAML: the site, the jobs submitted over time, and the injected faults.
 #pragma once
 
 #include <string>
@@ -15,25 +15,25 @@
   int capacity = 0, spot_capacity = 0, up = 0;
 };
 struct JobClass {
-  JobSpec spec;      // the id and the number of tasks are given by job
-  std::string cell;  // where it arrives; empty: in the first
+  JobSpec spec;      // the id and the number of tasks are set for each job
+  std::string cell;  // where its jobs are submitted; empty: the first cell
   int least_tasks = 1, most_tasks = 1, images = 1, at_start = 0;
   double per_minute = 0;
   Micros run;
-  Micros from, until;  // those that do not come at the start come in between; until 0: to the end
-  // The scenario fails where a job of it starts, or is done, later than this after its submission.
+  Micros from, until;  // when jobs after the first `at_start` are submitted; until 0: to the end
+  // The scenario fails if a job of the class starts, or is done, later than this after submission.
   Micros start_within, done_within;  // 0: no bound
-  double mistake = 0;                // so much of its tasks fails on every machine
-  Micros withdrawn_after;            // since its submission, by its user; 0: not
+  double mistake = 0;                // the share of tasks that fail on every machine
+  Micros withdrawn_after;            // its user cancels it this long after submission; 0: never
 };
 struct Withdrawal {
   std::string job;
   Micros at;
 };
 struct Trouble {
-  // A fault, from `at` for `span`; `who` and `whom` name hosts: all, leader, followers (of a cut),
-  // node-0 .. node-2, state, cloud, users, machines or zone-NAME, and in a scenario of several
-  // cells cell-NAME.
+  // A fault injected from `at` for `span`. `who` and `whom` name hosts: all, leader, followers
+  // (only for a cut), node-0 .. node-2, state, cloud, users, machines or zone-NAME, and cell-NAME
+  // in a scenario with several cells.
   enum class Kind {
     kCloudDown,
     kCloudEmpty,
@@ -54,53 +54,55 @@
     kLimit,
     kRetire,
     kStateRefuses,
-    kStateSlow,    // `share` of what it is asked and says takes up to 6 s longer
-    kLateWrites,   // `share` of changes: no answer, carried out 2 to 12 s later
-    kLateReports,  // of `share` of the reports a copy arrives again, from 2 s to over a lease later
-    kDeaf,         // `share` of the machines: what they say arrives, what is said to them is lost
-    kMute,         // `share` of the machines: they reach no controller, direct commands reach them
-    kHang,       // `share` of the machines: nothing happens on them; what was sent comes afterwards
-    kCancelNow,  // users call off `count` jobs that run; up to eight of their machines hang, `span`
-    kCancelAtEnd,    // of `share` of the jobs whose last task completes, at that moment
-    kCloseLooks,     // users ask at all nodes within milliseconds of an answer, and submit again
-    kOddRequests,    // repeated submissions, cancellations of what is over, jobs that can't run
-    kReportsForNext  // of `share` of the reports a copy comes to all nodes once a new leader has
-                     // begun
+    kStateSlow,    // `share` of the requests to and responses from the state service take up to 6 s
+                   // longer
+    kLateWrites,   // `share` of the writes get no response and are applied 2 to 12 s later
+    kLateReports,  // `share` of the heartbeats are duplicated, delayed by 2 s to more than a lease
+    kDeaf,         // `share` of the machines can send, but receive no responses or requests
+    kMute,         // `share` of the machines can't reach a controller, but receive direct commands
+    kHang,         // `share` of the machines pause; what was sent to them is delivered afterwards
+    kCancelNow,    // users cancel `count` running jobs; up to eight of their machines pause for
+                   // `span`
+    kCancelAtEnd,  // `share` of the jobs are cancelled at the moment their last task completes
+    kCloseLooks,   // within milliseconds of a response users query all nodes and submit again
+    kOddRequests,  // duplicate submissions, cancellations of finished jobs, jobs that can't run
+    kReportsForNext  // copies of `share` of the heartbeats reach all nodes after a new leader
+                     // started
   };
   Kind kind = Kind::kCloudDown;
   Micros at, span;
   double share = 1;
   int count = 0;
   std::string who, whom;
-  std::string cell;      // where; empty: in the first, or in all for a limit
-  std::string team;      // kLimit: every controller is restarted with another limit of this team
+  std::string cell;      // the affected cell; empty: the first, or all cells for kLimit
+  std::string team;      // kLimit: every controller is restarted with a new limit for this team
   int64_t cpus_max = 0;  // thousandths
-  bool resets = false;   // a cut that resets connections instead of holding back what they carry
+  bool resets = false;   // kCut: connections are reset instead of their data being delayed
 };
 struct Scenario {
   std::string name, about;
   Micros duration, settle;
   PlatformSettings site;
-  std::vector<std::string> cells;  // empty: one. Each has the machine types, and `up` of each
+  std::vector<std::string> cells;  // empty: one cell. Each starts `up` machines of each type
   double boot_spread = 0.4;
-  // Users ask once more about a job that is over, after a time between these.
+  // Users query a finished job once more after a random time in this range.
   double recheck_least_s = 10, recheck_most_s = 30;
   std::vector<MachineOffer> types;
   std::vector<JobClass> classes;
   std::vector<Withdrawal> withdrawals;
-  std::vector<std::string> either;  // jobs whose withdrawal races their end
+  std::vector<std::string> either;  // jobs whose cancellation races their completion
   std::vector<Trouble> troubles;
 };
 
-// A site's part of a file; `otherwise` where it says nothing. The caller looks for keys that nobody
-// asked for.
+// Reads a site's section; absent keys take the values of `otherwise`. The caller must check for
+// unknown keys.
 PlatformSettings ReadSite(YamlMap* site, const PlatformSettings& otherwise);
 
-// A config::Error names file, line and what was expected.
+// Throws a config::Error that names the file, the line and the expected value.
 Scenario LoadScenario(const std::string& file);
-// The same from its text; `file` names it in errors.
+// Parses the scenario's text; `file` names it in errors.
 Scenario ParseScenario(const std::string& text, const std::string& file);
-// A small site on which nothing arrives but what its users submit.
+// A small site for experiments, without generated jobs.
 Scenario SmallSite();
 
 }  // namespace badgershore::config
--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -54,7 +54,7 @@
       if (entry.first.as<std::string>("") == key) found.reset(entry.second);
     }
   }
-  if (required && found.IsNull()) Fail(key, "to be given");
+  if (required && found.IsNull()) Fail(key, "a value");
   return found;
 }
 
@@ -100,7 +100,7 @@
 std::string YamlMap::Text(const std::string& key, std::optional<std::string> otherwise) {
   if (!Has(key) && otherwise) return *otherwise;
   const YAML::Node n = At(key, true);
-  if (!n.IsScalar() || n.Scalar().empty()) Fail(key, "a text");
+  if (!n.IsScalar() || n.Scalar().empty()) Fail(key, "a string");
   return n.Scalar();
 }
 
@@ -120,9 +120,9 @@
   std::vector<std::string> out;
   const YAML::Node n = At(key, false);
   if (n.IsNull()) return out;
-  if (!n.IsSequence()) Fail(key, "a list of texts");
+  if (!n.IsSequence()) Fail(key, "a list of strings");
   for (const auto& item : n) {
-    if (!item.IsScalar() || item.Scalar().empty()) Fail(key, "a list of texts");
+    if (!item.IsScalar() || item.Scalar().empty()) Fail(key, "a list of strings");
     out.push_back(item.Scalar());
   }
   return out;
--- a/src/config/yaml.h
+++ b/src/config/yaml.h
@@ -1,5 +1,5 @@
-// Checked reading of YAML settings: every complaint is one line that names the file, the line and
-// what was expected; keys that nobody asked for are an error.
+// Reads and validates YAML settings. Every error is one line that names the file, the line and the
+// expected value; an unknown key is an error.
 #pragma once
 
 #include <yaml-cpp/yaml.h>
@@ -22,7 +22,7 @@
   static YamlMap Parse(const std::string& text, const std::string& file);
 
   bool Has(const std::string& key);
-  // Absent keys give `otherwise`; without one they are an error.
+  // An absent key yields `otherwise`; without `otherwise` it is an error.
   double Number(const std::string& key, double least, double most,
                 std::optional<double> otherwise = std::nullopt);
   int64_t Whole(const std::string& key, int64_t least, int64_t most,
@@ -31,15 +31,15 @@
               std::optional<double> otherwise_s = std::nullopt);
   bool Flag(const std::string& key, bool otherwise);
   std::string Text(const std::string& key, std::optional<std::string> otherwise = std::nullopt);
-  // One of `choices`; its index.
+  // The value must be one of `choices`; returns its index.
   size_t OneOf(const std::string& key, const std::vector<std::string>& choices,
                std::optional<size_t> otherwise = std::nullopt);
   std::vector<std::string> Texts(const std::string& key);
-  // An absent one is empty.
+  // An absent key yields an empty map.
   YamlMap Map(const std::string& key);
   void Each(const std::string& key, const std::function<void(YamlMap)>& each);
 
-  // To be called when everything wanted has been read.
+  // Throws if the map has a key that was not read. To be called after reading all known keys.
   void NoOthers() const;
   [[noreturn]] void Fail(const std::string& key, const std::string& expected) const;
 
--- a/src/error/error.h
+++ b/src/error/error.h
@@ -7,19 +7,19 @@
 
 namespace badgershore {
 
-// What a caller may tell apart.
+// Kinds of errors that callers may handle differently.
 enum class ErrorCode {
-  kInvalidAddress,      // not an address of the expected form
-  kAddressUnavailable,  // well-formed, but the system does not grant it
+  kInvalidAddress,      // not an address in the expected format
+  kAddressUnavailable,  // well-formed, but the system can't bind it
 };
 
-// `message` is for people: what failed, where, and what was expected.
+// `message` is for humans: what failed, where, and what was expected.
 struct Error {
   ErrorCode code = ErrorCode::kInvalidAddress;
   std::string message;
 };
 
-// A value, or why there is none.
+// A value or an error.
 template <class T>
 using Result = tl::expected<T, Error>;
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -49,7 +49,7 @@
             "f.json: members[0].member: expected a non-empty string");
   EXPECT_EQ(Complaint(kGood, "\"cancel_s\":43.0", "\"cancel_s\":10.0"),
             "f.json: params.workers.cancel_s: expected more than lease_s, or a cancellation can't "
-            "be kept");
+            "be guaranteed");
   EXPECT_EQ(Complaint(kGood, "{\"member\":\"m-0\"", "[1"), "f.json: expected a JSON object");
 }
 
@@ -102,7 +102,7 @@
   EXPECT_EQ(complaint("limits:\n  rps: 30\n"),
             "f.yaml:2: limits.rps: expected a number from 0 to 10");
   EXPECT_EQ(complaint("limits:\n  mode: slow\n"), "f.yaml:2: limits.mode: expected fast or safe");
-  EXPECT_EQ(complaint("list:\n- at_s: 1\n- {}\n"), "f.yaml:3: list[1].at_s: expected to be given");
+  EXPECT_EQ(complaint("list:\n- at_s: 1\n- {}\n"), "f.yaml:3: list[1].at_s: expected a value");
   EXPECT_EQ(complaint("list: 3\n"), "f.yaml:1: list: expected a list");
   EXPECT_EQ(complaint("- 3\n"), "f.yaml:1: expected a map");
   EXPECT_EQ(complaint("limits: [\n").substr(0, 7), "f.yaml:");
@@ -138,7 +138,7 @@
            {"cells: []\n", "at least one cell"},
            {"cells:\n- {name: a, backs: ['1.1.1.1:1']}\n", "a cell with this controller's address"},
            {"cells:\n- {name: a, backs: ['10.0.0.1:1']}\n- {name: a, backs: ['1.1.1.1:1']}\n",
-            "a name that no other cell has"},
+            "a unique cell name"},
            {"cells:\n- {name: a, backs: ['10.0.0.1:1']}\n- {name: b, heir: c}\n", "heir of b"},
            {"cells:\n- {name: a, backs: ['10.0.0.1:1'], floor: 1}\n", "floor"}}) {
     EXPECT_NE(says(text).find(expected), std::string::npos) << text << says(text);
@@ -161,10 +161,9 @@
     return "";
   };
   EXPECT_EQ(says("kind: cut, who: followers, whom: machines, at_s: 1, for_s: 1"), "");
-  EXPECT_EQ(
-      says("kind: kill, who: followers, at_s: 1"),
-      "n.yaml:7: troubles[0].who: expected leader, all or node-0 to node-2; followers are for "
-      "cuts");
+  EXPECT_EQ(says("kind: kill, who: followers, at_s: 1"),
+            "n.yaml:7: troubles[0].who: expected leader, all or node-0 to node-2; followers only "
+            "for a cut");
   EXPECT_NE(says("kind: late_reportz, at_s: 1").find("n.yaml:7: troubles[0].kind: expected"),
             std::string::npos);
 }
