--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -1,6 +1,7 @@
-// The state service's storage, measured: commits a second by writers at a time against bare
-// write+fdatasync of the same bytes, the libraries weighed for it, ranges, watches, recovery.
-// Times are the machine's that it runs on; run it alone. Not part of the tests.
+// Benchmarks of the state service's storage: commits per second by number of concurrent writers,
+// compared with plain write+fdatasync of the same bytes and with other storage libraries; lists,
+// watches and recovery. Results depend on the machine; run nothing else beside it. Not part of the
+// tests.
 #include <benchmark/benchmark.h>
 #include <fcntl.h>
 #include <lmdb.h>
@@ -32,7 +33,7 @@
   return key;
 }
 
-// As many commits as there are writers, each of one put, as one group.
+// One batch with a commit of one put by each writer.
 void Commits(benchmark::State& state) {
   const std::string dir = Folder();
   {
@@ -59,7 +60,7 @@
 }
 BENCHMARK(Commits)->Arg(1)->Arg(16)->Arg(256)->UseRealTime()->Unit(benchmark::kMicrosecond);
 
-// The same bytes (key, value, the row of the log, about 120 bytes of rows' heads a commit).
+// The same bytes: key, value, change row and about 120 bytes of row headers per commit.
 void BareWrites(benchmark::State& state) {
   const std::string dir = Folder();
   const int fd = ::open((dir + "/f").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
@@ -157,7 +158,7 @@
 }
 BENCHMARK(Ranges)->Unit(benchmark::kMicrosecond);
 
-// One commit with so many watches open, a tenth of which want its key.
+// One commit while the given number of watches is open, a tenth of which match its key.
 void CommitsUnderWatches(benchmark::State& state) {
   StateMachine machine({}, {}, Seconds(1));
   RequestId token = 0;
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -79,7 +79,7 @@
   EXPECT_EQ(complaint("dispatch: [1\n").substr(0, 12), "o.yaml: line");
 }
 
-// Guards against: a complaint without the line, and a missing key that ended the program.
+// Guards against an error without a line number, and a missing key that terminated the program.
 TEST(Yaml, NamesFileLineAndWhatWasExpected) {
   const auto complaint = [](const std::string& text) -> std::string {
     try {
@@ -146,7 +146,7 @@
   }
 }
 
-// Guards against: a trouble that names nobody, so that a scenario passes in which nothing happened.
+// Guards against a fault that matches no host: the scenario would pass without any fault.
 TEST(ScenarioFile, TroublesNameThoseThatTheyCanMeet) {
   const auto says = [](const std::string& trouble) -> std::string {
     try {
--- a/tests/failing_disk.cpp
+++ b/tests/failing_disk.cpp
@@ -1,7 +1,7 @@
-// A library to preload into a program, whose disk then fails while a file says so. Calls that
-// change files below FAILING_DISK_DIRECTORY fail with the error that the file FAILING_DISK_CONTROL
-// holds as a number (errno); absent or empty: they work. What is written by a failing write is half
-// of it.
+// A library to preload into a program (LD_PRELOAD) to inject disk faults. The file named by
+// FAILING_DISK_CONTROL contains an errno value and optionally the name of a call: calls that change
+// files below FAILING_DISK_DIRECTORY then fail with that error. If the file is absent or empty,
+// they succeed. A failing write writes half of its data.
 #include <dlfcn.h>
 #include <errno.h>
 #include <fcntl.h>
@@ -21,7 +21,7 @@
 
 using Open = int (*)(const char*, int, ...);
 
-// The error that `call` fails with now; 0: none.
+// The errno that `call` has to fail with; 0: none.
 int CurrentFault(const char* call) {
   static const char* control = getenv("FAILING_DISK_CONTROL");
   if (!control) return 0;
--- a/tests/failing_disk.h
+++ b/tests/failing_disk.h
@@ -1,4 +1,4 @@
-// A disk for programs that a test starts, which fails when the test says so: see failing_disk.cpp.
+// Injects disk faults into programs that a test starts, by preloading failing_disk.cpp.
 #pragma once
 
 #include <cstdlib>
@@ -11,14 +11,15 @@
 
 class FailingDisk {
  public:
-  // Changes to files below `directory` can fail; `control` is a file of the test's.
+  // Faults affect files below `directory`; `control` is the file that passes the current fault to
+  // the programs.
   FailingDisk(std::string directory, std::string control)
       : directory_(std::move(directory)), control_(std::move(control)) {}
   ~FailingDisk() { End(); }
   FailingDisk(const FailingDisk&) = delete;
   FailingDisk& operator=(const FailingDisk&) = delete;
 
-  // Programs started between Begin and End have this disk.
+  // Programs started between Begin and End are subject to the faults.
   void Begin() {
     setenv("FAILING_DISK_DIRECTORY", directory_.c_str(), 1);
     setenv("FAILING_DISK_CONTROL", control_.c_str(), 1);
@@ -33,7 +34,8 @@
     unsetenv("LD_PRELOAD");
     setenv("ASAN_OPTIONS", asan_options_.c_str(), 1);
   }
-  // Every change fails with `error` (errno) from now on; or only those by `call`, as "fsync".
+  // From now on every operation that changes files fails with `error` (errno), or only the given
+  // system call, such as "fsync".
   void Fail(int error, const std::string& call = "") {
     const std::string beside = control_ + ".new";
     std::ofstream(beside) << error << ' ' << call;
--- a/tests/fault_file_system.h
+++ b/tests/fault_file_system.h
@@ -1,4 +1,4 @@
-// A file system for the storage library whose changes fail when a test says so.
+// A RocksDB file system that injects faults into operations that change the disk.
 #pragma once
 
 #include <rocksdb/file_system.h>
@@ -25,17 +25,17 @@
 
 enum class DiskFault {
   kNoSpace,
-  kIoError,           // passes no more by itself, as the library sees it
-  kRetryableIoError,  // one that the library would retry by itself
+  kIoError,           // not retryable in RocksDB's view
+  kRetryableIoError,  // RocksDB's automatic recovery would retry it
 };
 
-// Which changes fail; used by all threads of the library.
+// Decides which operations fail. Thread-safe, as RocksDB calls it from several threads.
 class FaultPlan {
  public:
   using Condition = std::function<bool(DiskOperation, const std::string& path)>;
 
-  // Fails the `first`-th change from now on that meets `condition`, and the ones after it, `count`
-  // in all. Replaces the plan before.
+  // Of the following operations that match `condition`, fails `count`, beginning with number
+  // `first` (counted from 1). Replaces the previous plan.
   void Fail(DiskFault fault, int first, int count, Condition condition = nullptr) {
     const std::lock_guard<std::mutex> lock(mutex_);
     fault_ = fault;
@@ -46,7 +46,7 @@
   }
   void Heal() { Fail(DiskFault::kIoError, 1, 0); }
 
-  // How many changes have failed by the last plan.
+  // The number of operations that failed under the last plan.
   int failures() const {
     const std::lock_guard<std::mutex> lock(mutex_);
     return failures_;
@@ -86,7 +86,7 @@
                            rocksdb::IODebugContext* debug) override {
     rocksdb::IOStatus status = plan_->Step(DiskOperation::kAppend, path_);
     if (status.ok()) return FSWritableFileOwnerWrapper::Append(data, options, debug);
-    // A part of it is written, as on a real disk.
+    // Writes a part of the data, as a real disk may.
     const rocksdb::Slice part(data.data(), data.size() / 2);
     FSWritableFileOwnerWrapper::Append(part, options, debug).PermitUncheckedError();
     return status;
--- a/tests/replication_program_test.cpp
+++ b/tests/replication_program_test.cpp
@@ -1,5 +1,5 @@
-// Three badgershore-state processes as one state service: one ends, one loses its disk, a majority
-// is gone. They are met on loopback as controllers meet them.
+// A replicated state service of three badgershore-state processes on loopback: loss of the leader,
+// of a disk and of the majority, and a failing disk.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -94,7 +94,7 @@
     *answer = co_await client.Request(method, target, body, Seconds(3));
     loop->Stop();
   }
-  // Until it is answered 200, for 15 s.
+  // Retries until the status is 200, for at most 15 s.
   bool Eventually(size_t i, const std::string& method, const std::string& target,
                   const std::string& body = "") {
     for (int tries = 0; tries < 150; ++tries) {
@@ -129,7 +129,7 @@
       }
       usleep(100000);
     }
-    ADD_FAILURE() << "nobody leads";
+    ADD_FAILURE() << "no replica leads";
     return 0;
   }
 
@@ -178,7 +178,7 @@
   Start(lost);
   for (int tries = 0; tries < 200 && !IsMember(lost); ++tries) usleep(100000);
   ASSERT_TRUE(IsMember(lost));
-  // It and the old leader are a majority with all that was answered.
+  // Together with the leader it is a majority that has all acknowledged writes.
   Kill(other);
   ASSERT_TRUE(Put(leader, "a/3", "33"));
   Kill(leader);
@@ -190,7 +190,7 @@
 
 TEST_F(Replicas, DirectoriesAreNotMixedUp) {
   Init(0);
-  // Twice, served alone, and a state that was never made a replica's.
+  // init twice, serving a replica's directory without replication, and an unknown replica name.
   EXPECT_EQ(ExitOf({BADGERSHORE_STATE, "init", "--data", Data(0), "--replicas", set_file()}), 1);
   EXPECT_EQ(ExitOf({BADGERSHORE_STATE, "serve", "--data", Data(0), "--listen", "127.0.0.1:0"}), 1);
   EXPECT_EQ(ExitOf({BADGERSHORE_STATE, "serve", "--data", Data(0), "--replicas", set_file(),
@@ -198,7 +198,7 @@
             2);
 }
 
-// Replica 1 has a disk that can fail.
+// Disk faults can be injected into replica 1.
 class ReplicasWithAFailingDisk : public Replicas {
  protected:
   ReplicasWithAFailingDisk() : disk_(Data(kFailing), root_ + "/fault") {}
@@ -210,7 +210,7 @@
       disk_.End();
     }
   }
-  // Its exit code, within 10 s; -1: it goes on, or was ended by a signal.
+  // The exit code of that replica, within 10 s; -1: still running or killed by a signal.
   int ExitCodeOfFailing() {
     for (int tries = 0; tries < 100; ++tries) {
       int status = 0;
@@ -227,8 +227,8 @@
   FailingDisk disk_;
 };
 
-// Guards against: acknowledged keys lost by one failing disk, and a disk that works again and whose
-// replica does not take part again.
+// Guards against the loss of acknowledged writes by one failing disk, and against a replica that
+// does not take part again when its disk works again.
 TEST_F(ReplicasWithAFailingDisk, LoseNothingAndUseItAgain) {
   for (const int fault : {ENOSPC, EIO}) {
     for (size_t i = 0; i < 3; ++i) {
@@ -241,7 +241,7 @@
     ASSERT_TRUE(Put(0, "a/2", "22"));
     disk_.Heal();
     ASSERT_TRUE(Put(0, "a/3", "33"));
-    Kill(2);  // from here on nothing is acknowledged without replica 1
+    Kill(2);  // from here on replica 1 is needed for a majority
     ASSERT_TRUE(Put(0, "a/4", "44"));
     Kill(0);
     Kill(kFailing);
@@ -254,7 +254,7 @@
   }
 }
 
-// Guards against: a replica that can't be told to end while it waits for its disk.
+// Guards against a replica that does not exit on SIGTERM while it waits for its disk.
 TEST_F(ReplicasWithAFailingDisk, EndIt) {
   StartAllWithOne();
   ASSERT_TRUE(Put(0, "a/1", "11"));
@@ -265,7 +265,7 @@
   EXPECT_EQ(ExitCodeOfFailing(), 0);
 }
 
-// Guards against: a replica that retries for ever what can't pass.
+// Guards against a replica that retries forever although its data is corrupt.
 TEST_F(ReplicasWithAFailingDisk, DamageEndsTheReplica) {
   StartAllWithOne();
   for (int i = 0; i < 5; ++i) ASSERT_TRUE(Put(0, "a/" + std::to_string(i), "1"));
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -1,4 +1,5 @@
-// The replicated state service: its protocol step by step, and explored with planted faults.
+// The replication protocol: random walks and exploration of its model, also with injected protocol
+// errors, which must be found, and unit tests of single steps.
 #include <gtest/gtest.h>
 
 #include "check/replication_model.h"
@@ -30,7 +31,7 @@
   plan.coverage = &seen;
   const Outcome out = WalkThrough(plan, 3000);
   EXPECT_GT(seen.commits, 10000u);
-  EXPECT_GT(seen.leaders, 4000u);  // each walk begins with one
+  EXPECT_GT(seen.leaders, 4000u);  // each walk starts with one
   EXPECT_GT(seen.images, 50u);
   EXPECT_EQ(out.broken, "") << testing::PrintToString(out.path);
   EXPECT_EQ(out.states, 3000u);
@@ -91,7 +92,7 @@
   return {name, "h", std::move(body)};
 }
 
-// What was sent as an answer to the message; the disk writes at once.
+// The response to the message; disk writes complete immediately.
 template <typename Body>
 std::optional<Body> Answered(Replica* replica, Micros now, const Message& message) {
   replica->OnMessage(now, message);
@@ -118,7 +119,7 @@
   EXPECT_TRUE(Votes(&voter, Seconds(12), "b", request));
   EXPECT_FALSE(Votes(&voter, Seconds(12), "c", request));
   EXPECT_EQ(voter.stored().vote, (Vote{7, "b"}));
-  // Its next life has only what the disk holds.
+  // After a restart it has only its persistent state.
   Replica again(Three("a"), voter.stored(), 2, Seconds(13));
   EXPECT_FALSE(Votes(&again, Seconds(15), "c", request));
   EXPECT_TRUE(Votes(&again, Seconds(15), "b", request));
@@ -140,7 +141,7 @@
   EXPECT_FALSE(Votes(&follower, heard + Millis(990), "c", request));
   EXPECT_EQ(follower.term(), 7u);
   EXPECT_TRUE(Votes(&follower, heard + kLease, "c", request));
-  // A life that has just begun may have given its word in the one before.
+  // After a restart it may have promised a lease to a leader before.
   Replica again(Three("a"), Member(), 1, Seconds(30));
   EXPECT_FALSE(Votes(&again, Seconds(30) + Millis(990), "c", request));
 }
@@ -157,7 +158,7 @@
   ASSERT_TRUE(installed);
   EXPECT_EQ(installed->position, (Position{8, 10}));
   EXPECT_FALSE(empty.stored().member);
-  // It counts once its last life's votes are surely over.
+  // It becomes a member after `rejoin_after`.
   const Micros later = Seconds(21);
   Answered<AppendAnswer>(&empty, later, From("b", Append{8, later, std::nullopt}));
   EXPECT_TRUE(empty.stored().member);
@@ -179,7 +180,7 @@
   EXPECT_EQ(follower.leader(), "");
 }
 
-// A leader whose term has begun with a committed entry; `c` has not answered yet.
+// A leader that has committed the first entry of its term; `c` has not responded yet.
 Replica Leading(Micros now) {
   Replica leader(Three("a"), Member(), 1, now - Seconds(3));
   leader.Tick(now);
@@ -215,7 +216,7 @@
   leader.Take();
   leader.OnStored(now, true);
   EXPECT_TRUE(leader.Take().committed.empty());
-  // Whoever has lost its disk does not count, nor does another position.
+  // Neither a replica that is no member nor an older position counts.
   leader.OnMessage(now, From("c", AppendAnswer{leader.term(), now, position, false, 0}));
   leader.OnMessage(now, From("b", AppendAnswer{leader.term(), now, {1, 5}, true, 0}));
   EXPECT_TRUE(leader.Take().committed.empty());
@@ -232,7 +233,7 @@
   EXPECT_EQ(leader.role(), Replica::Role::kFollower);
 }
 
-// Guards against: one disk that takes no entry and keeps the whole service from committing.
+// Guards against a leader with a hanging disk that keeps the whole service from committing.
 TEST(Replica, ADiskThatDoesNotAnswerStopsLeading) {
   const Micros now = Seconds(13);
   Replica leader = Leading(now);
@@ -244,7 +245,7 @@
     leader.Take();
   }
   EXPECT_EQ(leader.role(), Replica::Role::kFollower);
-  // What became of the entry is told later, and counts then.
+  // When the write completes later, the entry is still recorded.
   leader.OnStored(now + Seconds(30), true);
   EXPECT_EQ(leader.stored().position, (Position{leader.term(), 7}));
 }
--- a/tests/state_program_test.cpp
+++ b/tests/state_program_test.cpp
@@ -1,4 +1,4 @@
-// badgershore-state as a process: killed, started again, refused, full, asked by many.
+// The badgershore-state program: restarts, invalid settings, limits, a full and a failing disk.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <signal.h>
@@ -109,7 +109,7 @@
             R"({"path":"a/b","value":{"x":[1,2.5,null]},"stamp":1,"tenancy":1})");
   EXPECT_EQ(Status("GET", "/store/a/c"), 404);
   EXPECT_EQ(Status("POST", "/grants/1/touch", "{}"), 200);
-  // A watch from before goes on, deletions included; a lease's number is not given again.
+  // A watch continues from an earlier revision, including deletions; a lease id is not reused.
   EXPECT_EQ(Ask("GET", "/changes?starts=a/&since=1&waitMs=0").body,
             R"({"epoch":3,"log":[{"put":"a/c","value":1,"stamp":2},{"delete":"a/c","stamp":3}]})");
   EXPECT_EQ(Ask("POST", "/grants", R"({"lifeMs":1000})").body, R"({"tenancy":2})");
@@ -139,14 +139,14 @@
   EXPECT_NE(line.find("bad.yaml:2: limits.rsp: expected one of"), std::string::npos) << line;
 }
 
-// A disk with less room than is kept free is met before a write, and reads go on.
+// If the disk has less free space than the reserve, changes are refused and reads still work.
 TEST_F(StateProgram, RefusesChangesOnAFullDisk) {
   Start("reserve_mb: 1099511627776\n");
   EXPECT_EQ(Status("POST", "/commit", R"({"then":[{"put":"a","value":1}]})"), 503);
   EXPECT_EQ(Status("GET", "/store/a"), 404);
   Kill();
   Start();
-  EXPECT_EQ(Status("GET", "/store/a"), 404);  // what was refused was not carried out
+  EXPECT_EQ(Status("GET", "/store/a"), 404);  // the refused change was not applied
   EXPECT_EQ(Status("POST", "/commit", R"({"then":[{"put":"a","value":1}]})"), 200);
 }
 
@@ -163,7 +163,7 @@
             429);
 }
 
-// Standard error goes to a file, also that of programs started meanwhile.
+// Redirects standard error to a file, also for programs started meanwhile.
 class CapturedErrors {
  public:
   explicit CapturedErrors(std::string file) : file_(std::move(file)), saved_(dup(STDERR_FILENO)) {
@@ -200,7 +200,7 @@
     return Status("POST", "/commit",
                   R"({"then":[{"put":")" + key + R"(","value":)" + std::to_string(value) + "}]}");
   }
-  // Until a change is answered 200, for 10 s; the key's number.
+  // Puts new keys until one is accepted, for at most 10 s; returns that key's number, or -1.
   int PutUntilAccepted(int from) {
     for (int tries = 0; tries < 100; ++tries) {
       if (Put("k/" + std::to_string(from + tries), from + tries) == 200) return from + tries;
@@ -208,7 +208,7 @@
     }
     return -1;
   }
-  // The exit code, within 10 s; -1: it goes on.
+  // The exit code, within 10 s; -1: still running or killed by a signal.
   int ExitCode() {
     for (int tries = 0; tries < 100; ++tries) {
       if (waitpid(pid_, &status_, WNOHANG) == pid_) {
@@ -223,8 +223,8 @@
   FailingDisk disk_;
 };
 
-// Guards against: a disk that fails for a while and is never used again, acknowledged changes lost
-// by it, and a refused change that is there.
+// Guards against a service that does not use a disk that works again, against the loss of
+// acknowledged changes, and against a refused change that was applied.
 TEST_F(StateProgramOnAFailingDisk, GoesOnByItselfAndKeepsWhatItAnswered) {
   for (const int fault : {ENOSPC, EIO}) {
     fs::remove_all(root_ + "/data");
@@ -247,7 +247,7 @@
   }
 }
 
-// Guards against: a process that can't be told to end while it waits for its disk.
+// Guards against a process that does not exit on SIGTERM while it waits for its disk.
 TEST_F(StateProgramOnAFailingDisk, EndsWhenItIsTold) {
   StartOnFailingDisk();
   ASSERT_EQ(Put("k/1", 1), 200);
@@ -257,7 +257,7 @@
   EXPECT_EQ(ExitCode(), 0);
 }
 
-// Guards against: retrying for ever, without a word, what can't pass.
+// Guards against retrying forever, without a log line, although the data is corrupt.
 TEST_F(StateProgramOnAFailingDisk, DamageFoundWhileItServesEndsIt) {
   StartOnFailingDisk();
   for (int i = 1; i <= 5; ++i) ASSERT_EQ(Put("k/" + std::to_string(i), i), 200);
@@ -284,7 +284,7 @@
   EXPECT_EQ(said, "badgershore-state: " + line + "\n");
 }
 
-// Guards against: a snapshot under its own name that a loss of power would take back.
+// Guards against a snapshot that has its final name before it is durable.
 TEST_F(StateProgramOnAFailingDisk, ASnapshotThatCannotBeSyncedIsNone) {
   Start();
   ASSERT_EQ(Put("k/1", 1), 200);
--- a/tests/store_disk_failure_test.cpp
+++ b/tests/store_disk_failure_test.cpp
@@ -1,4 +1,4 @@
-// The state service's disk while it fails: who recovers, what is there afterwards, what is retried.
+// The storage engine on a failing disk: recovery, the data left afterwards, and retries.
 #include <gtest/gtest.h>
 #include <rocksdb/db.h>
 #include <rocksdb/env.h>
@@ -26,7 +26,7 @@
 constexpr int kNotes = 3;
 constexpr int kMostRetries = 200;
 
-// Sees the storage library recover from a failed write on a thread of its own.
+// Observes RocksDB's automatic recovery from a failed write, which runs on a background thread.
 class RecoveryObserver : public rocksdb::EventListener {
  public:
   void OnErrorRecoveryBegin(rocksdb::BackgroundErrorReason /*reason*/, rocksdb::Status /*error*/,
@@ -107,8 +107,8 @@
     std::sort(logs.begin(), logs.end());
     return logs;
   }
-  // Writes an owner's note through the library itself, fails the append of the next one, and lets
-  // the library begin a newer log where it recovers by itself, which fails at the table's append.
+  // Writes owner metadata directly with RocksDB and fails the next append. If RocksDB recovers
+  // automatically, it creates a newer log and then fails to append to the table.
   void FailAnAppend(const rocksdb::Options& as, DiskFault fault) {
     rocksdb::Options options = as;
     const auto observer = std::make_shared<RecoveryObserver>();
@@ -124,7 +124,7 @@
     }
     CloseDatabase();
   }
-  // The same, but the library's recovery succeeds except for the torn log's deletion.
+  // The same, but RocksDB's recovery succeeds except for deleting the torn log.
   void FailAnAppendAndADeletion(const rocksdb::Options& as) {
     rocksdb::Options options = as;
     const auto observer = std::make_shared<RecoveryObserver>();
@@ -157,14 +157,14 @@
   rocksdb::Options ServiceOptions() const {
     return DatabaseOptions(DatabaseAccess::kReadWrite, env_.get());
   }
-  // As the service opened its database while the library still recovered by itself.
+  // The options of earlier versions, which left RocksDB's automatic recovery enabled.
   rocksdb::Options OptionsWithAutomaticRecovery() const {
     rocksdb::Options options = ServiceOptions();
     options.listeners.clear();
     options.max_bgerror_resume_count = rocksdb::Options().max_bgerror_resume_count;
     return options;
   }
-  // What opening says; empty where it succeeds.
+  // The error of opening the database; empty on success.
   std::string Refusal() const {
     try {
       Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
@@ -187,8 +187,8 @@
   EngineOptions options_;
 };
 
-// Guards against: the library beginning a newer log beside the torn one while the engine reopens,
-// after which the directory never opened again.
+// Guards against RocksDB's automatic recovery, which creates a newer log next to the torn one while
+// the engine reopens the database; the directory could not be opened any more afterwards.
 TEST_F(FailingDisk, TheLibraryRecoversFromNoFailedWriteByItself) {
   for (const DiskFault fault :
        {DiskFault::kNoSpace, DiskFault::kRetryableIoError, DiskFault::kIoError}) {
@@ -201,7 +201,7 @@
   }
 }
 
-// Guards against: a directory that stays refused though all that was acknowledged is in it.
+// Guards against refusing a directory that contains all acknowledged writes.
 TEST_F(FailingDisk, ATornLogBesideAnEmptyNewerOneOpens) {
   WriteBatches(1, 5);
   FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
@@ -213,7 +213,7 @@
   EXPECT_EQ(engine.Load(), ImageAfter(7));
 }
 
-// Guards against: the same where the library had written all of the torn log to a table already.
+// Guards against the same after RocksDB has flushed all of the torn log to a table.
 TEST_F(FailingDisk, ATornLogThatTheManifestDoesNotNeedIsPassedOver) {
   WriteBatches(1, 5);
   FailAnAppendAndADeletion(OptionsWithAutomaticRecovery());
@@ -224,7 +224,8 @@
   EXPECT_EQ(engine.Load(), ImageAfter(7));
 }
 
-// Guards against: damage to acknowledged writes taken for the torn end of a failed append.
+// Guards against corruption of acknowledged writes that is taken for the torn write of a failed
+// append.
 TEST_F(FailingDisk, AFlippedBitInATornLogBesideAnEmptyNewerOneIsRefused) {
   WriteBatches(1, 5);
   FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
@@ -243,7 +244,8 @@
   }
 }
 
-// Guards against: the last acknowledged write cut off as a torn end for one bit in its length.
+// Guards against truncating the last acknowledged write as a torn write because of a bit flip in
+// its length.
 TEST_F(FailingDisk, AFlippedBitInTheLengthOfTheLastRecordIsDamage) {
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
@@ -258,7 +260,7 @@
   }
 }
 
-// Guards against: `check`, `dump` and `snapshot` that pass over damage to acknowledged writes.
+// Guards against `check`, `dump` and `snapshot` ignoring corruption of acknowledged writes.
 TEST_F(FailingDisk, AReadOnlyOpeningFindsDamageToo) {
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
@@ -270,14 +272,14 @@
     try {
       Engine engine(dir_, Engine::OpenMode::kReadOnly, options_);
       engine.Load();
-      ADD_FAILURE() << "byte " << at << " is passed over";
+      ADD_FAILURE() << "byte " << at << ": corruption was not detected";
     } catch (const DataDamagedError& error) {
       EXPECT_EQ(std::string(error.what()).rfind(log + ": byte ", 0), 0u) << error.what();
     }
   }
 }
 
-// Guards against: acknowledged writes cut off with a torn end that is not the last of all logs.
+// Guards against truncating acknowledged writes in a log that is followed by a newer one.
 TEST_F(FailingDisk, ATornLogBesideANewerOneWithRecordsIsRefused) {
   WriteBatches(1, 5);
   FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
@@ -288,7 +290,7 @@
                            ": corrupt; restore a snapshot");
 }
 
-// Writes until it is known what became of the batch.
+// Writes and retries until the outcome is known.
 WriteOutcome WriteToTheEnd(Engine* engine, const Batch& batch) {
   WriteOutcome written = engine->Write(batch);
   for (int i = 0; i < kMostRetries && written == WriteOutcome::kUnknown; ++i) {
@@ -297,8 +299,9 @@
   return written;
 }
 
-// Guards against: an acknowledged write lost, an outcome that the next start contradicts and a
-// disk that works again and is not used, whichever change to the disk fails, and twice in a row.
+// Guards against the loss of an acknowledged write, an outcome that is wrong after a restart, and
+// an engine that does not use a disk that works again. Fails each disk operation in turn, then
+// again after the first successful write.
 TEST_F(FailingDisk, AnyChangeMayFailAndNothingIsLost) {
   for (const DiskFault fault : {DiskFault::kNoSpace, DiskFault::kIoError}) {
     for (const int count : {1, 2, 5, 40}) {
@@ -330,7 +333,7 @@
   }
 }
 
-// Guards against: a failure while the database is opened that leaves what does not open again.
+// Guards against a failure during opening that makes the database impossible to open later.
 TEST_F(FailingDisk, OpeningMayFailAtAnyChange) {
   for (const DiskFault fault : {DiskFault::kNoSpace, DiskFault::kIoError}) {
     for (const int count : {1, 2, 5, 40}) {
@@ -358,7 +361,7 @@
   }
 }
 
-// Guards against: the same while a table is written beside the service's writes.
+// Guards against the same when a table is flushed while the service writes.
 TEST_F(FailingDisk, ATablesWriteMayFail) {
   constexpr size_t kValueBytes = 1 << 20;
   constexpr uint64_t kBatches = 24;  // more than a write buffer
@@ -383,7 +386,7 @@
   }
 }
 
-// Guards against: one batch's outcome told for the next, which was never written.
+// Guards against reporting the outcome of one batch for the next one, which was never written.
 TEST_F(FailingDisk, NothingIsWrittenBeforeAnUnknownWriteIsResolved) {
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   for (uint64_t number = 1; number <= 3; ++number) {
@@ -398,7 +401,7 @@
   EXPECT_EQ(engine.Load(), ImageAfter(4));
 }
 
-// Guards against: a service that goes on with less than it has acknowledged.
+// Guards against a service that continues after losing acknowledged writes.
 TEST_F(FailingDisk, AcknowledgedWritesThatAreGoneAreDamage) {
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   for (uint64_t number = 1; number <= 5; ++number) {
@@ -410,13 +413,13 @@
   plan_.Heal();
   try {
     engine.ResolveUnknownWrite();
-    FAIL() << "it goes on";
+    FAIL() << "no error was thrown";
   } catch (const DataDamagedError& error) {
     EXPECT_EQ(error.what(), dir_ + ": 5 acknowledged writes are missing; restore a snapshot");
   }
 }
 
-// Guards against: a failing disk that is asked without a pause, rarely, or without a word.
+// Guards against retrying a failing disk without a delay, too rarely, or without logging.
 TEST(DiskRetry, WaitsLongerAndIsSaidAtIntervals) {
   DiskRetry retry;
   EXPECT_FALSE(retry.OnSuccess(Seconds(1)));
--- a/tests/store_disk_test.cpp
+++ b/tests/store_disk_test.cpp
@@ -1,4 +1,5 @@
-// The state service's disk: ends at every step, torn and damaged files, a full disk, snapshots.
+// The storage engine: crashes at every disk operation, torn writes, corruption, a full disk and
+// snapshots.
 #include <gtest/gtest.h>
 #include <rocksdb/db.h>
 #include <rocksdb/env.h>
@@ -19,9 +20,9 @@
 
 namespace fs = std::filesystem;
 
-// Shared between a child that is made to end and the parent that looks at what is left.
+// Memory shared between a child process that crashes and the parent that checks the data directory.
 struct Journal {
-  int operations = 0;  // on the file system so far
+  int operations = 0;  // file system operations so far
   int end_at = 0;      // 0: never
   int fail_from = 0, fail_until = 0;
   uint64_t answered = 0;
@@ -42,7 +43,7 @@
   }
 };
 
-// Counts each change to the disk, and ends the process or fails at the one that is asked for.
+// Counts the operations that change the disk, and exits the process or fails at a given one.
 class FaultFile : public rocksdb::FSWritableFileOwnerWrapper {
  public:
   FaultFile(std::unique_ptr<rocksdb::FSWritableFile>&& file, std::string path, Journal* journal)
@@ -60,7 +61,7 @@
   using FSWritableFileOwnerWrapper::Append;
   rocksdb::IOStatus Append(const rocksdb::Slice& data, const rocksdb::IOOptions& o,
                            rocksdb::IODebugContext* d) override {
-    if (auto s = Step(); !s.ok()) {  // a part of it is written, as on a real disk
+    if (auto s = Step(); !s.ok()) {  // partially written, as on a real disk
       FSWritableFileOwnerWrapper::Append(rocksdb::Slice(data.data(), data.size() / 2), o, d);
       return s;
     }
@@ -135,7 +136,7 @@
     fs::remove_all(root_);
     munmap(journal_, sizeof(Journal));
   }
-  // Writes batches in a process of its own until it is done or made to end.
+  // Writes batches in a child process until all are written or it is made to exit.
   void WriteInChild(uint64_t first, uint64_t last) {
     const pid_t pid = fork();
     if (pid == 0) {
@@ -151,7 +152,7 @@
     }
     waitpid(pid, nullptr, 0);
   }
-  // What a loss of power leaves: of each file what was synced, and perhaps some of the rest.
+  // Simulates a power loss: of each file the synced part remains, and a random part of the rest.
   void LosePower(unsigned seed) {
     std::mt19937 random(seed);
     for (const auto& file : fs::directory_iterator(dir_)) {
@@ -177,7 +178,7 @@
   EngineOptions options_;
 };
 
-// Guards against: an answer before the data is on the disk, and a batch that is there by half.
+// Guards against a write acknowledged before it is durable, and against a partially applied batch.
 TEST_F(Disk, AnEndAtAnyStepLosesNoAnsweredBatch) {
   journal_->end_at = 0;
   WriteInChild(1, 12);
@@ -200,7 +201,7 @@
   }
 }
 
-// Guards against: a torn end taken for damage, and a torn end passed over without a word.
+// Guards against a torn write reported as corruption, and against one truncated without a warning.
 TEST_F(Disk, ATornEndIsCutAndSaid) {
   WriteInChild(1, 12);
   const std::string log = NewestLog();
@@ -216,7 +217,7 @@
       fs::copy(copy, dir_, fs::copy_options::recursive);
       fs::resize_file(log, whole.size() - cut);
       if (zeros) fs::resize_file(log, whole.size());
-      // Bytes that were zeros anyway are not torn by being zeros again.
+      // If the cut bytes were zeros, the file is unchanged.
       if (zeros && whole.find_first_not_of('\0', whole.size() - cut) == std::string::npos) continue;
       Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
       EXPECT_EQ(engine.Load(), After(11)) << cut;
@@ -226,11 +227,11 @@
   }
 }
 
-// Guards against: damage that is skipped. A flipped bit in a length looks like a torn end to the
-// storage library, which then drops all that follows in its block.
+// Guards against undetected corruption. RocksDB takes a bit flip in a record's length for a torn
+// write and drops the rest of its block.
 TEST_F(Disk, AFlippedByteIsNeverPassedOverInSilence) {
   WriteInChild(1, 40);
-  {  // so that there are table files too
+  {  // reopens the database, so that there are table files too
     Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
     for (uint64_t n = 41; n <= 60; ++n)
       ASSERT_EQ(engine.Write(Numbered(n)), WriteOutcome::kDurable);
@@ -260,8 +261,8 @@
       try {
         Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
         const StateImage image = engine.Load();
-        if (image == After(60)) continue;  // a byte that nothing depends on
-        // Only the very last record may go, as a torn end, and that is said.
+        if (image == After(60)) continue;  // an unused byte
+        // Only the last record may be lost, as a torn write with a warning.
         EXPECT_EQ(image, After(59)) << name << " byte " << at;
         EXPECT_EQ(engine.recovery_warnings().size(), 1u) << name << " byte " << at;
         ++cut;
@@ -277,7 +278,8 @@
   EXPECT_LE(cut, 3);
 }
 
-// Guards against: an answered batch lost, or an unanswered one told as refused that is there.
+// Guards against the loss of an acknowledged batch, and against a batch that is reported as refused
+// but was written.
 TEST_F(Disk, AFailingDiskLosesNothingAndGoesOn) {
   auto env = rocksdb::NewCompositeEnv(std::make_shared<FaultFileSystem>(journal_));
   options_.env = env.get();
@@ -316,7 +318,7 @@
   EXPECT_EQ(engine.Write(Numbered(2)), WriteOutcome::kDurable);
   try {
     Engine second(dir_, Engine::OpenMode::kReadWrite, options_);
-    FAIL() << "a second owner";
+    FAIL() << "a second process opened the directory for writing";
   } catch (const DiskError& e) {
     EXPECT_EQ(std::string(e.what()), dir_ + ": in use by another process");
   }
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,4 +1,5 @@
-// The state service's machine against a plain model, and what the model does not cover.
+// The state machine of the state service: a comparison with a simple model, and unit tests of what
+// the model does not cover.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -11,11 +12,11 @@
 namespace badgershore::store {
 namespace {
 
-// What PROTOCOL says, written as plainly as can be: no batches, no order kept, no indices.
+// The simplest implementation of PROTOCOL: without batches, sorted indices or a durable image.
 struct Model {
   uint64_t epoch = 0, last_lease = 0;
   std::map<std::string, VersionedValue> items;
-  std::map<uint64_t, std::pair<Micros, Micros>> leases;  // life and end
+  std::map<uint64_t, std::pair<Micros, Micros>> leases;  // time to live and expiry
   std::vector<ChangeLogEntry> log;
 
   void Drop(uint64_t lease) {
@@ -158,7 +159,7 @@
         case 3:
           write(WriteOutcome::kDurable);
           continue;
-        case 4: {  // time passes, in steps that end leases one by one
+        case 4: {  // advances the time in steps that expire leases one by one
           write(WriteOutcome::kDurable);
           if (machine.writes_blocked()) continue;
           const Micros until = now + Millis(a);
@@ -182,7 +183,7 @@
     write(WriteOutcome::kDurable);
     RC_ASSERT(machine.state().items == model.items);
     RC_ASSERT(machine.state().revision == model.epoch);
-    // Every change since any revision, as a watch sees it.
+    // A watch from any revision returns every later change.
     for (uint64_t since = 0; since <= model.epoch; ++since) {
       machine.Submit(now, ++token, WatchRequest{"k/", since, {}});
       std::vector<ChangeLogEntry> want;
@@ -191,7 +192,7 @@
       }
       RC_ASSERT(machine.TakeEffects().responses.at(0).second.changes == want);
     }
-    // A restart from what is durable is the same service.
+    // A restart from the durable image yields the same state.
     StateImage image;
     image = machine.state();
     RC_ASSERT(StateMachine({}, image, now).state() == machine.state());
@@ -205,7 +206,7 @@
     machine.Submit(now, ++token, std::move(r));
     return Serve();
   }
-  // Everything written is durable at once; the last answer.
+  // Completes all writes with `written`; returns the last response.
   Response Serve(WriteOutcome written = WriteOutcome::kDurable) {
     Response last;
     last.outcome = Outcome::kUnknown;
@@ -232,7 +233,7 @@
   const Batch batch = *machine.TakeEffects().write;
   machine.Submit(now, 2, GetRequest{"a"});
   EXPECT_EQ(machine.TakeEffects().responses.at(0).second.outcome, Outcome::kNotFound);
-  // Guards are judged by what the batch under way will leave.
+  // Preconditions are evaluated against the state after the batch in progress.
   CompareAndSwapRequest second = Put("a", "2");
   second.preconditions.push_back({"a", 0});
   machine.Submit(now, 3, second);
@@ -251,7 +252,7 @@
   EXPECT_EQ(Serve(WriteOutcome::kAbsent).outcome, Outcome::kRefused);
   EXPECT_EQ(Ask(Put("a", "2")).outcome, Outcome::kRefused);
   EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kOk);
-  // The lease ran out meanwhile; an outage gives it its full time again.
+  // The lease has expired meanwhile; it is renewed at the end of the outage.
   now += Seconds(5);
   machine.Tick(now);
   Serve(WriteOutcome::kDurable);
@@ -275,7 +276,7 @@
   EXPECT_EQ(machine.TakeEffects().responses.at(0).second.outcome, Outcome::kUnknown);
   EXPECT_EQ(Ask(Put("b", "1")).outcome, Outcome::kRefused);
   EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kNotFound);
-  machine.OnWriteCompleted(now, batch.id, WriteOutcome::kDurable);  // it was on the disk after all
+  machine.OnWriteCompleted(now, batch.id, WriteOutcome::kDurable);  // it turns out to be on disk
   EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kOk);
   EXPECT_EQ(Ask(Put("b", "1")).outcome, Outcome::kOk);
 }
@@ -297,7 +298,7 @@
   for (size_t i = 0; i < kMinChangeLogEntries; ++i) Ask(Put("c", "1"));
   EXPECT_EQ(Ask(WatchRequest{"", 2, {}}).outcome, Outcome::kCompacted);
   EXPECT_EQ(Ask(WatchRequest{"", 3, {}}).changes.size(), kMinChangeLogEntries);
-  // Of another history, as after a restored snapshot.
+  // A revision from before an older snapshot was restored.
   EXPECT_EQ(Ask(WatchRequest{"", machine.state().revision + 1, {}}).outcome, Outcome::kCompacted);
 }
 
@@ -353,7 +354,7 @@
   EXPECT_EQ(status("POST", "/commit", "{\"guards\":[{\"path\":\"a\"}]}"), 400);
   EXPECT_EQ(status("POST", "/commit", "{\"then\":[{\"put\":\"a\"}]}"), 400);
   EXPECT_EQ(status("POST", "/commit", "{\"then\":[{\"put\":\"a\",\"value\":null}]}"), 0);
-  // A value nested without end would be copied by a recursion without end.
+  // Guards against a stack overflow by the recursive copy of a deeply nested value.
   const std::string deep = "{\"then\":[{\"put\":\"a\",\"value\":" + std::string(20000, '[') +
                            std::string(20000, ']') + "}]}";
   EXPECT_EQ(status("POST", "/commit", deep.c_str()), 400);
