--- a/src/replication/service/service.cpp
+++ b/src/replication/service/service.cpp
@@ -172,7 +172,7 @@
     after.history = image->history;
   }
   PostDiskJob([this, write, note = Encode(after)]() -> std::function<void()> {
-    store::WriteOutcome written = disk_recovery_.Record(WriteToEngine(write, note));
+    store::WriteOutcome written = disk_recovery_.LogOutcome(WriteToEngine(write, note));
     // The core must not act on a guess, so the disk thread does nothing else until the outcome is
     // known.
     if (written == store::WriteOutcome::kUnknown) written = disk_recovery_.ResolveUnknownWrite();
@@ -314,8 +314,9 @@
                                     (*answer)->outcome == store::Outcome::kRateLimited ||
                                     (*answer)->outcome == store::Outcome::kInvalid);
   // The response may be stale once another replica can lead.
-  if (!answered || (!refused && !Serves())) co_return store::ToHttp(call.request, std::nullopt);
-  co_return store::ToHttp(call.request, *answer);
+  if (!answered || (!refused && !Serves()))
+    co_return store::ToHttpResponse(call.request, std::nullopt);
+  co_return store::ToHttpResponse(call.request, *answer);
 }
 
 io::Task<http::ServerAnswer> ReplicatedService::Forward(Peer* leader, http::Message request) {
--- a/src/store/disk/archive.h
+++ b/src/store/disk/archive.h
@@ -23,18 +23,18 @@
   void Finish();
 
  private:
-  void Entry(const std::string& name, std::string_view bytes);
-  [[noreturn]] void Fail(const std::string& what) const;
-  std::string file_, sums_;
+  void WriteEntry(const std::string& name, std::string_view bytes);
+  [[noreturn]] void Fail(const std::string& context) const;
+  std::string file_, checksums_;
   archive* archive_ = nullptr;
 };
 
-// Passes each entry to `each` and then verifies all of them against SHA256SUMS. Throws a DiskError
-// that names an entry with another checksum, a missing one or one that is not listed. The entries
-// must not be used before ReadArchive returns.
+// Passes each entry to `on_entry` and then verifies all of them against SHA256SUMS. Throws a
+// DiskError that names an entry with another checksum, a missing one or one that is not listed. The
+// entries must not be used before ReadArchive returns.
 void ReadArchive(
     const std::string& file,
-    const std::function<void(const std::string& name, const std::string& bytes)>& each);
+    const std::function<void(const std::string& name, const std::string& bytes)>& on_entry);
 
 // Writes an image to a snapshot file, and reads it back. Restore needs an empty or absent directory
 // and leaves it unchanged unless the whole snapshot is valid.
--- a/src/store/disk/database_options.cpp
+++ b/src/store/disk/database_options.cpp
@@ -16,9 +16,9 @@
 constexpr int kMaxOpenFiles = 256;
 constexpr int kAllFilesOpen = -1;
 constexpr int kBackgroundJobs = 2;
-constexpr size_t kKeptInfoLogs = 3;
+constexpr size_t kMaxInfoLogFiles = 3;
 constexpr uint32_t kTableFormatVersion = 5;
-constexpr int kNoResumeAttempts = 0;
+constexpr int kMaxResumeAttempts = 0;
 
 // Disables RocksDB's automatic recovery from a failed write. It runs on a background thread and
 // would create a new log next to the torn one while the engine closes and reopens the database.
@@ -45,7 +45,7 @@
   options.track_and_verify_wals_in_manifest = writable;
   // After a failed write only the engine recovers, by reopening the database.
   options.listeners.push_back(std::make_shared<NoAutomaticRecovery>());
-  options.max_bgerror_resume_count = kNoResumeAttempts;
+  options.max_bgerror_resume_count = kMaxResumeAttempts;
   options.max_background_jobs = kBackgroundJobs;
   options.write_buffer_size = kWriteBufferBytes;
   // The database is not read while the service runs, so the memtable appends rows unsorted and
@@ -53,7 +53,7 @@
   options.memtable_factory = std::make_shared<rocksdb::VectorRepFactory>();
   options.allow_concurrent_memtable_write = false;
   options.max_open_files = writable ? kMaxOpenFiles : kAllFilesOpen;
-  options.keep_log_file_num = kKeptInfoLogs;
+  options.keep_log_file_num = kMaxInfoLogFiles;
   options.info_log_level = rocksdb::InfoLogLevel::WARN_LEVEL;
   options.compression = rocksdb::kNoCompression;
   rocksdb::BlockBasedTableOptions table;
--- a/src/store/disk/engine.cpp
+++ b/src/store/disk/engine.cpp
@@ -62,23 +62,25 @@
   rocksdb::FileLock* lock_ = nullptr;
 };
 
-void Put(rocksdb::WriteBatch* out, const MetaRow& meta) { out->Put(kMetadataKey, Pack(meta)); }
+void Put(rocksdb::WriteBatch* out, const MetadataRow& meta) {
+  out->Put(kMetadataKey, EncodeRow(meta));
+}
 void PutItem(rocksdb::WriteBatch* out, const std::string& key, const VersionedValue& item) {
-  out->Put("k" + key, Pack(ItemRow{item.version, item.lease, item.value}));
+  out->Put("k" + key, EncodeRow(ItemRow{item.version, item.lease, item.value}));
 }
-std::string ChangesKey(uint64_t last_stamp) { return "c" + BigEndian(last_stamp); }
+std::string ChangesKey(uint64_t last_revision) { return "c" + ToBigEndian(last_revision); }
 template <typename Rows>
-void PutLog(rocksdb::WriteBatch* out, const Rows& rows) {
+void PutChanges(rocksdb::WriteBatch* out, const Rows& rows) {
   if (rows.empty()) return;
   ChangesRow all;
   all.changes.reserve(rows.size());
   for (const ChangeLogEntry& row : rows) {
     all.changes.push_back({row.revision, row.key, row.value.value_or(""), !row.value.has_value()});
   }
-  out->Put(ChangesKey(rows.back().revision), Pack(all));
+  out->Put(ChangesKey(rows.back().revision), EncodeRow(all));
 }
 
-uint64_t AskFreeBytes(const std::string& dir) {
+uint64_t QueryFreeBytes(const std::string& dir) {
   struct statvfs v {};
   if (::statvfs(dir.c_str(), &v) != 0) return 0;
   return static_cast<uint64_t>(v.f_bavail) * v.f_frsize;
@@ -93,7 +95,7 @@
 
 Engine::Engine(std::string dir, OpenMode mode, EngineOptions options)
     : dir_(std::move(dir)), mode_(mode), options_(std::move(options)) {
-  if (!options_.free_bytes) options_.free_bytes = AskFreeBytes;
+  if (!options_.free_bytes) options_.free_bytes = QueryFreeBytes;
   Open();
 }
 
@@ -154,7 +156,7 @@
     const DirectoryLock lock(options.env, dir_);
     if (!info_log_) info_log_ = OpenInfoLog(dir_);
     std::vector<std::string> warnings = RecoverLogs(dir_, [this] { return OldestNeededLog(); });
-    for (std::string& warning : warnings) notes_.push_back(std::move(warning));
+    for (std::string& warning : warnings) recovery_warnings_.push_back(std::move(warning));
   }
   options.info_log = info_log_;
   return rocksdb::DB::Open(options, dir_, db);
@@ -180,15 +182,16 @@
   read.verify_checksums = true;
   const rocksdb::Status status = Database()->Get(read, kMetadataKey, &metadata);
   if (!status.ok() && !status.IsNotFound()) ThrowFailure(dir_, status);
-  const MetaRow row = status.ok() ? Unpack<MetaRow>(kMetadataKey, metadata) : MetaRow{};
-  if (row.writes < writes_) {
-    throw DataDamagedError(dir_ + ": " + std::to_string(writes_ - row.writes) +
+  const MetadataRow row =
+      status.ok() ? DecodeRow<MetadataRow>(kMetadataKey, metadata) : MetadataRow{};
+  if (row.write_count < write_count_) {
+    throw DataDamagedError(dir_ + ": " + std::to_string(write_count_ - row.write_count) +
                            " acknowledged writes are missing; restore a snapshot");
   }
-  writes_ = row.writes;
-  epoch_ = row.epoch;
-  last_lease_ = row.last_lease;
-  compacted_ = row.compacted;
+  write_count_ = row.write_count;
+  revision_ = row.revision;
+  last_lease_id_ = row.last_lease_id;
+  compacted_revision_ = row.compacted_revision;
 }
 
 StateImage Engine::Load() {
@@ -203,26 +206,26 @@
     const std::string_view rest(key.data() + 1, key.size() - 1);
     switch (key[0]) {
       case 'c':
-        for (ChangeRow& row : Unpack<ChangesRow>(key, value).changes) {
-          ChangeLogEntry change{row.stamp, std::move(row.key), std::nullopt};
+        for (ChangeRow& row : DecodeRow<ChangesRow>(key, value).changes) {
+          ChangeLogEntry change{row.revision, std::move(row.key), std::nullopt};
           if (!row.deleted) change.value = std::move(row.value);
           image.change_log.push_back(std::move(change));
         }
         break;
       case 'k': {
-        auto row = Unpack<ItemRow>(key, value);
+        auto row = DecodeRow<ItemRow>(key, value);
         image.items.emplace_hint(image.items.end(), std::string(rest),
-                                 VersionedValue{std::move(row.value), row.stamp, row.lease});
+                                 VersionedValue{std::move(row.value), row.version, row.lease});
         break;
       }
       case 'l':
-        image.leases[FromBigEndian(rest)] = Micros{Unpack<LeaseRow>(key, value).life};
+        image.leases[FromBigEndian(rest)] = Micros{DecodeRow<LeaseRow>(key, value).time_to_live_us};
         break;
       case 'm': {
-        const auto row = Unpack<MetaRow>(key, value);
-        image.revision = row.epoch;
-        image.last_lease_id = row.last_lease;
-        image.compacted_revision = row.compacted;
+        const auto row = DecodeRow<MetadataRow>(key, value);
+        image.revision = row.revision;
+        image.last_lease_id = row.last_lease_id;
+        image.compacted_revision = row.compacted_revision;
         meta = true;
         break;
       }
@@ -241,7 +244,7 @@
   // here.
   while (!image.change_log.empty() && image.change_log.front().revision <= image.compacted_revision)
     image.change_log.pop_front();
-  trimmed_ = image.compacted_revision;
+  trimmed_revision_ = image.compacted_revision;
   return image;
 }
 
@@ -255,14 +258,14 @@
       out->Delete("k" + key);
     }
   }
-  for (const auto& [id, life] : batch.leases) {
-    if (life) {
-      out->Put("l" + BigEndian(id), Pack(LeaseRow{life->count}));
+  for (const auto& [id, time_to_live] : batch.leases) {
+    if (time_to_live) {
+      out->Put("l" + ToBigEndian(id), EncodeRow(LeaseRow{time_to_live->count}));
     } else {
-      out->Delete("l" + BigEndian(id));
+      out->Delete("l" + ToBigEndian(id));
     }
   }
-  PutLog(out, batch.change_log);
+  PutChanges(out, batch.change_log);
 }
 
 }  // namespace
@@ -272,7 +275,7 @@
   sync.sync = true;
   const rocksdb::Status status = db_->Write(sync, out);
   if (status.ok()) {
-    writes_ = expected_;
+    write_count_ = expected_write_count_;
     return WriteOutcome::kDurable;
   }
   if (status.IsCorruption()) ThrowFailure(dir_, status);  // found by RocksDB's background threads
@@ -294,62 +297,64 @@
 
 WriteOutcome Engine::Write(const Batch& batch) { return WriteWithOwnerMetadata(&batch, ""); }
 
-WriteOutcome Engine::WriteWithOwnerMetadata(const Batch* batch, const std::string& note) {
+WriteOutcome Engine::WriteWithOwnerMetadata(const Batch* batch, const std::string& owner_metadata) {
   if (!AcceptsWrites()) return WriteOutcome::kAbsent;
   rocksdb::WriteBatch out;
-  expected_ = writes_ + 1;
-  const MetaRow meta =
-      batch ? MetaRow{batch->revision, batch->last_lease_id, batch->compacted_revision, expected_}
-            : MetaRow{epoch_, last_lease_, compacted_, expected_};
+  expected_write_count_ = write_count_ + 1;
+  const MetadataRow meta =
+      batch ? MetadataRow{batch->revision, batch->last_lease_id, batch->compacted_revision,
+                          expected_write_count_}
+            : MetadataRow{revision_, last_lease_id_, compacted_revision_, expected_write_count_};
   Put(&out, meta);
   if (batch) PutBatch(&out, *batch);
-  if (!note.empty()) out.Put(kOwnerMetadataKey, note);
+  if (!owner_metadata.empty()) out.Put(kOwnerMetadataKey, owner_metadata);
   // Range deletions slow down later reads, so compacted changes are deleted only in large steps.
-  const bool trim = meta.compacted > trimmed_ + kMinChangeLogEntries / 4;
-  if (trim) out.DeleteRange("c", ChangesKey(meta.compacted + 1));
+  const bool trim = meta.compacted_revision > trimmed_revision_ + kMinChangeLogEntries / 4;
+  if (trim) out.DeleteRange("c", ChangesKey(meta.compacted_revision + 1));
   const WriteOutcome written = Commit(&out);
   if (written != WriteOutcome::kDurable) return written;
-  epoch_ = meta.epoch;
-  last_lease_ = meta.last_lease;
-  compacted_ = meta.compacted;
-  if (trim) trimmed_ = meta.compacted;
+  revision_ = meta.revision;
+  last_lease_id_ = meta.last_lease_id;
+  compacted_revision_ = meta.compacted_revision;
+  if (trim) trimmed_revision_ = meta.compacted_revision;
   return written;
 }
 
-WriteOutcome Engine::Replace(const StateImage& image, const std::string& note) {
+WriteOutcome Engine::Replace(const StateImage& image, const std::string& owner_metadata) {
   if (!AcceptsWrites()) return WriteOutcome::kAbsent;
   rocksdb::WriteBatch out;
-  expected_ = writes_ + 1;
+  expected_write_count_ = write_count_ + 1;
   out.DeleteRange("c", "m");  // changes, items and leases
   for (const auto& [key, item] : image.items) PutItem(&out, key, item);
-  for (const auto& [id, life] : image.leases) {
-    out.Put("l" + BigEndian(id), Pack(LeaseRow{life.count}));
+  for (const auto& [id, time_to_live] : image.leases) {
+    out.Put("l" + ToBigEndian(id), EncodeRow(LeaseRow{time_to_live.count}));
   }
-  PutLog(&out, image.change_log);
-  Put(&out, MetaRow{image.revision, image.last_lease_id, image.compacted_revision, expected_});
-  out.Put(kOwnerMetadataKey, note);
+  PutChanges(&out, image.change_log);
+  Put(&out, MetadataRow{image.revision, image.last_lease_id, image.compacted_revision,
+                        expected_write_count_});
+  out.Put(kOwnerMetadataKey, owner_metadata);
   const WriteOutcome written = Commit(&out);
   if (written != WriteOutcome::kDurable) return written;
-  epoch_ = image.revision;
-  last_lease_ = image.last_lease_id;
-  compacted_ = trimmed_ = image.compacted_revision;
+  revision_ = image.revision;
+  last_lease_id_ = image.last_lease_id;
+  compacted_revision_ = trimmed_revision_ = image.compacted_revision;
   return written;
 }
 
 std::string Engine::LoadOwnerMetadata() {
-  std::string note;
+  std::string owner_metadata;
   rocksdb::ReadOptions read;
   read.verify_checksums = true;
-  const rocksdb::Status status = Database()->Get(read, kOwnerMetadataKey, &note);
+  const rocksdb::Status status = Database()->Get(read, kOwnerMetadataKey, &owner_metadata);
   if (!status.ok() && !status.IsNotFound()) ThrowFailure(dir_, status);
-  return status.ok() ? note : std::string();
+  return status.ok() ? owner_metadata : std::string();
 }
 
 // A failed write may still be on disk. Reopening the database flushes its logs to new, synced
 // files, so everything read afterwards is durable.
 WriteOutcome Engine::ResolveUnknownWrite() {
   try {
-    notes_.clear();
+    recovery_warnings_.clear();
     Open();
   } catch (const DataDamagedError&) {
     db_.reset();
@@ -359,7 +364,7 @@
     db_.reset();
     return WriteOutcome::kUnknown;
   }
-  return writes_ == expected_ ? WriteOutcome::kDurable : WriteOutcome::kAbsent;
+  return write_count_ == expected_write_count_ ? WriteOutcome::kDurable : WriteOutcome::kAbsent;
 }
 
 void Engine::Initialize(const StateImage& image) {
@@ -376,25 +381,26 @@
     PutItem(&out, key, item);
     flush(false);
   }
-  for (const auto& [id, life] : image.leases) {
-    out.Put("l" + BigEndian(id), Pack(LeaseRow{life.count}));
+  for (const auto& [id, time_to_live] : image.leases) {
+    out.Put("l" + ToBigEndian(id), EncodeRow(LeaseRow{time_to_live.count}));
   }
   // Split at revision boundaries, as batches are.
-  std::vector<ChangeLogEntry> piece;
+  std::vector<ChangeLogEntry> chunk;
   for (size_t i = 0; i < image.change_log.size(); ++i) {
-    piece.push_back(image.change_log[i]);
-    const bool whole = i + 1 == image.change_log.size() ||
-                       image.change_log[i + 1].revision != image.change_log[i].revision;
-    if (!whole || (piece.size() < 256 && i + 1 < image.change_log.size())) continue;
-    PutLog(&out, piece);
-    piece.clear();
+    chunk.push_back(image.change_log[i]);
+    const bool ends_revision = i + 1 == image.change_log.size() ||
+                               image.change_log[i + 1].revision != image.change_log[i].revision;
+    if (!ends_revision || (chunk.size() < 256 && i + 1 < image.change_log.size())) continue;
+    PutChanges(&out, chunk);
+    chunk.clear();
     flush(false);
   }
-  Put(&out, MetaRow{image.revision, image.last_lease_id, image.compacted_revision, ++writes_});
+  Put(&out,
+      MetadataRow{image.revision, image.last_lease_id, image.compacted_revision, ++write_count_});
   flush(true);
-  epoch_ = image.revision;
-  last_lease_ = image.last_lease_id;
-  compacted_ = image.compacted_revision;
+  revision_ = image.revision;
+  last_lease_id_ = image.last_lease_id;
+  compacted_revision_ = image.compacted_revision;
 }
 
 }  // namespace badgershore::store
--- a/src/store/disk/engine.h
+++ b/src/store/disk/engine.h
@@ -57,9 +57,9 @@
   WriteOutcome Write(const Batch& batch);
   // The same, with the owner's metadata in the same durable write; without a batch, only that
   // metadata.
-  WriteOutcome WriteWithOwnerMetadata(const Batch* batch, const std::string& note);
+  WriteOutcome WriteWithOwnerMetadata(const Batch* batch, const std::string& owner_metadata);
   // Replaces all data by this image and metadata, in one durable write.
-  WriteOutcome Replace(const StateImage& image, const std::string& note);
+  WriteOutcome Replace(const StateImage& image, const std::string& owner_metadata);
   std::string LoadOwnerMetadata();  // empty: never written
   // After kUnknown: the outcome of that batch, or kUnknown again.
   WriteOutcome ResolveUnknownWrite();
@@ -69,7 +69,7 @@
   void Initialize(const StateImage& image);
 
   // Warnings of the last opening: torn writes that were truncated.
-  const std::vector<std::string>& recovery_warnings() const { return notes_; }
+  const std::vector<std::string>& recovery_warnings() const { return recovery_warnings_; }
   static bool IsEmptyOrAbsent(const std::string& dir);
 
  private:
@@ -88,13 +88,13 @@
   EngineOptions options_;
   std::shared_ptr<rocksdb::Logger> info_log_;
   std::unique_ptr<rocksdb::DB> db_;
-  std::vector<std::string> notes_;
+  std::vector<std::string> recovery_warnings_;
   std::string last_failure_;
-  uint64_t writes_ = 0;  // durable writes since the database was created
+  uint64_t write_count_ = 0;  // durable writes since the database was created
   // The metadata after the last durable write.
-  uint64_t epoch_ = 0, last_lease_ = 0, compacted_ = 0;
-  uint64_t expected_ = 0;
-  uint64_t trimmed_ = 0;
+  uint64_t revision_ = 0, last_lease_id_ = 0, compacted_revision_ = 0;
+  uint64_t expected_write_count_ = 0;
+  uint64_t trimmed_revision_ = 0;
 };
 
 }  // namespace badgershore::store
--- a/src/store/disk/info_log.cpp
+++ b/src/store/disk/info_log.cpp
@@ -12,8 +12,8 @@
 namespace badgershore::store {
 namespace {
 
-constexpr size_t kMostFileBytes = 1 << 20;
-constexpr size_t kMostLineBytes = 4096;
+constexpr size_t kMaxFileBytes = 1 << 20;
+constexpr size_t kMaxLineBytes = 4096;
 
 class FileInfoLog : public rocksdb::Logger {
  public:
@@ -25,18 +25,18 @@
 
   using Logger::Logv;
   void Logv(const char* format, va_list arguments) override {
-    char line[kMostLineBytes];
+    char line[kMaxLineBytes];
     std::vsnprintf(line, sizeof(line), format, arguments);
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (written_ > kMostFileBytes) Rotate();
+    if (written_ > kMaxFileBytes) Rotate();
     if (!file_) return;
-    const int size = std::fprintf(file_, "%s %d %s\n", TimeNow().c_str(), gettid(), line);
+    const int size = std::fprintf(file_, "%s %d %s\n", UtcTimestamp().c_str(), gettid(), line);
     if (size > 0) written_ += static_cast<size_t>(size);
     if (std::fflush(file_) != 0) std::clearerr(file_);
   }
 
  private:
-  static std::string TimeNow() {
+  static std::string UtcTimestamp() {
     timespec now{};
     clock_gettime(CLOCK_REALTIME, &now);
     tm utc{};
@@ -63,7 +63,7 @@
   size_t written_ = 0;
 };
 
-class NoInfoLog : public rocksdb::Logger {
+class DiscardingLogger : public rocksdb::Logger {
  public:
   using Logger::Logv;
   void Logv(const char* /*format*/, va_list /*arguments*/) override {}
@@ -75,6 +75,8 @@
   return std::make_shared<FileInfoLog>(dir + "/LOG");
 }
 
-std::shared_ptr<rocksdb::Logger> DiscardingInfoLog() { return std::make_shared<NoInfoLog>(); }
+std::shared_ptr<rocksdb::Logger> DiscardingInfoLog() {
+  return std::make_shared<DiscardingLogger>();
+}
 
 }  // namespace badgershore::store
--- a/src/store/disk/log_check.h
+++ b/src/store/disk/log_check.h
@@ -14,9 +14,9 @@
 namespace badgershore::store {
 
 struct LogCheck {
-  enum class State { kWhole, kTorn, kDamaged } state = State::kWhole;
-  uint64_t good_bytes = 0;  // size of the valid records at the beginning
-  uint64_t bad_at = 0;      // kTorn, kDamaged: offset of the first invalid record
+  enum class State { kValid, kTorn, kCorrupt } state = State::kValid;
+  uint64_t valid_bytes = 0;     // size of the valid records at the beginning
+  uint64_t invalid_offset = 0;  // kTorn, kCorrupt: offset of the first invalid record
   // kTorn: the log ends within a record, as after a failed append; otherwise it ends in zeros.
   bool ends_in_record = false;
 };
--- a/src/store/disk/log_recovery.cpp
+++ b/src/store/disk/log_recovery.cpp
@@ -56,12 +56,13 @@
 
 void Truncate(const fs::path& path, uint64_t size, const std::string& where) {
   const int fd = ::open(path.c_str(), O_WRONLY | O_CLOEXEC);
-  const bool cut = fd >= 0 && ::ftruncate(fd, static_cast<off_t>(size)) == 0 && ::fsync(fd) == 0;
+  const bool truncated =
+      fd >= 0 && ::ftruncate(fd, static_cast<off_t>(size)) == 0 && ::fsync(fd) == 0;
   if (fd >= 0) ::close(fd);
-  if (!cut) throw DiskError(where + ": a torn write can't be truncated");
+  if (!truncated) throw DiskError(where + ": a torn write can't be truncated");
 }
 
-enum class TornEnd { kKeep, kCut };
+enum class TornWriteAction { kKeep, kTruncate };
 
 bool IsEmpty(const LogFile& log) {
   std::error_code error;
@@ -70,34 +71,34 @@
 
 // Whether the torn write at the end of `logs[index]` can't be an acknowledged one: a log is synced
 // completely before a record is written to a newer one.
-bool MayEndTorn(const std::vector<LogFile>& logs, size_t index, const LogCheck& check) {
+bool MayHaveTornWrite(const std::vector<LogFile>& logs, size_t index, const LogCheck& check) {
   if (index + 1 == logs.size()) return true;
   const auto newer = logs.begin() + static_cast<std::ptrdiff_t>(index) + 1;
   return check.ends_in_record && std::all_of(newer, logs.end(), IsEmpty);
 }
 
 // A torn write at the end of the manifest is ignored: it can't refer to acknowledged writes.
-std::vector<std::string> WalkLogs(const std::string& dir, TornEnd torn_end,
+std::vector<std::string> ScanLogs(const std::string& dir, TornWriteAction action,
                                   const OldestNeededLog& oldest_needed_log) {
   std::vector<std::string> warnings;
   const std::vector<LogFile> logs = ListLogs(dir);
   for (size_t i = 0; i < logs.size(); ++i) {
     const LogFile& log = logs[i];
     const LogCheck check = CheckLog(ReadFile(log.path));
-    if (check.state == LogCheck::State::kWhole) continue;
+    if (check.state == LogCheck::State::kValid) continue;
     const bool torn = check.state == LogCheck::State::kTorn;
     if (torn && log.IsManifest()) continue;
-    const std::string where = log.path.string() + ": byte " + std::to_string(check.bad_at);
+    const std::string where = log.path.string() + ": byte " + std::to_string(check.invalid_offset);
     if (!torn) throw DataDamagedError(where + ": corrupt; restore a snapshot");
-    if (!MayEndTorn(logs, i, check)) {
+    if (!MayHaveTornWrite(logs, i, check)) {
       if (log.number < oldest_needed_log()) continue;
       throw DataDamagedError(where + ": corrupt; restore a snapshot");
     }
-    if (torn_end == TornEnd::kKeep) continue;
-    const uint64_t torn_bytes = fs::file_size(log.path) - check.good_bytes;
+    if (action == TornWriteAction::kKeep) continue;
+    const uint64_t torn_bytes = fs::file_size(log.path) - check.valid_bytes;
     warnings.push_back(where + ": truncated a torn write of " + std::to_string(torn_bytes) +
                        " bytes");
-    Truncate(log.path, check.good_bytes, where);
+    Truncate(log.path, check.valid_bytes, where);
   }
   return warnings;
 }
@@ -105,12 +106,12 @@
 }  // namespace
 
 void CheckLogs(const std::string& dir, const OldestNeededLog& oldest_needed_log) {
-  WalkLogs(dir, TornEnd::kKeep, oldest_needed_log);
+  ScanLogs(dir, TornWriteAction::kKeep, oldest_needed_log);
 }
 
 std::vector<std::string> RecoverLogs(const std::string& dir,
                                      const OldestNeededLog& oldest_needed_log) {
-  return WalkLogs(dir, TornEnd::kCut, oldest_needed_log);
+  return ScanLogs(dir, TornWriteAction::kTruncate, oldest_needed_log);
 }
 
 }  // namespace badgershore::store
--- a/src/store/disk/rows.h
+++ b/src/store/disk/rows.h
@@ -23,37 +23,37 @@
 
 // The format number. A later version that changes the format increments it and still reads the
 // earlier formats.
-constexpr uint8_t kFormat = 1;
+constexpr uint8_t kRowFormat = 1;
 
-struct MetaRow {
-  uint64_t epoch = 0, last_lease = 0, compacted = 0, writes = 0;
+struct MetadataRow {
+  uint64_t revision = 0, last_lease_id = 0, compacted_revision = 0, write_count = 0;
   template <class A>
   void serialize(A& a) {
-    a(epoch, last_lease, compacted, writes);
+    a(revision, last_lease_id, compacted_revision, write_count);
   }
 };
 struct ItemRow {
-  uint64_t stamp = 0, lease = 0;
+  uint64_t version = 0, lease = 0;
   std::string value;
   template <class A>
   void serialize(A& a) {
-    a(stamp, lease, value);
+    a(version, lease, value);
   }
 };
 struct LeaseRow {
-  int64_t life = 0;
+  int64_t time_to_live_us = 0;
   template <class A>
   void serialize(A& a) {
-    a(life);
+    a(time_to_live_us);
   }
 };
 struct ChangeRow {
-  uint64_t stamp = 0;
+  uint64_t revision = 0;
   std::string key, value;
   bool deleted = false;
   template <class A>
   void serialize(A& a) {
-    a(stamp, key, value, deleted);
+    a(revision, key, value, deleted);
   }
 };
 // The changes of one batch, in one record keyed by its last revision.
@@ -68,7 +68,7 @@
 inline const std::string kMetadataKey = "m";
 inline const std::string kOwnerMetadataKey = "r";
 
-inline std::string BigEndian(uint64_t v) {
+inline std::string ToBigEndian(uint64_t v) {
   std::string out(8, '\0');
   for (int i = 7; i >= 0; --i, v >>= 8) out[static_cast<size_t>(i)] = static_cast<char>(v);
   return out;
@@ -81,7 +81,7 @@
 
 // A reusable string stream buffer; constructing a string stream per record costs more than encoding
 // the record.
-class StringSink : public std::streambuf {
+class StringStreamBuffer : public std::streambuf {
  public:
   std::string text;
 
@@ -97,26 +97,26 @@
 };
 
 template <typename Row>
-std::string Pack(const Row& row) {
-  thread_local StringSink sink;
+std::string EncodeRow(const Row& row) {
+  thread_local StringStreamBuffer sink;
   thread_local std::ostream out(&sink);
   sink.text.clear();
   {
     cereal::PortableBinaryOutputArchive archive(out);
-    archive(kFormat, row);
+    archive(kRowFormat, row);
   }
   return sink.text;
 }
 
 template <typename Row>
-Row Unpack(const rocksdb::Slice& key, const rocksdb::Slice& value) {
+Row DecodeRow(const rocksdb::Slice& key, const rocksdb::Slice& value) {
   Row row;
   uint8_t format = 0;
   try {
     std::istringstream in(value.ToString());
     cereal::PortableBinaryInputArchive archive(in);
     archive(format);
-    if (format == kFormat) {
+    if (format == kRowFormat) {
       archive(row);
       return row;
     }
@@ -126,7 +126,7 @@
   const std::string name = "record " + key.ToString(true);
   if (format == 0) throw DataDamagedError(name + " can't be decoded; restore a snapshot");
   throw DiskError(name + " has format " + std::to_string(format) + "; this version reads format " +
-                  std::to_string(kFormat));
+                  std::to_string(kRowFormat));
 }
 
 }  // namespace badgershore::store
--- a/src/store/disk_retry.cpp
+++ b/src/store/disk_retry.cpp
@@ -6,9 +6,9 @@
 namespace badgershore::store {
 namespace {
 
-constexpr Micros kFirstDelay = Millis(100);
-constexpr Micros kLongestDelay = Seconds(2);
-constexpr double kDelayGrowth = 2;
+constexpr Micros kInitialDelay = Millis(100);
+constexpr Micros kMaxDelay = Seconds(2);
+constexpr double kBackoffFactor = 2;
 constexpr Micros kLogInterval = Seconds(30);
 
 }  // namespace
@@ -16,15 +16,15 @@
 DiskRetry::Decision DiskRetry::OnFailure(Micros now) {
   if (!failing_since_) {
     failing_since_ = now;
-    next_delay_ = kFirstDelay;
-    next_log_ = now;
+    next_delay_ = kInitialDelay;
+    next_log_at_ = now;
   }
   Decision decision;
   decision.failing_for = now - *failing_since_;
   decision.delay = next_delay_;
-  next_delay_ = std::min(next_delay_.Scaled(kDelayGrowth), kLongestDelay);
-  decision.log = now >= next_log_;
-  if (decision.log) next_log_ = now + kLogInterval;
+  next_delay_ = std::min(next_delay_.Scaled(kBackoffFactor), kMaxDelay);
+  decision.log = now >= next_log_at_;
+  if (decision.log) next_log_at_ = now + kLogInterval;
   return decision;
 }
 
--- a/src/store/disk_retry.h
+++ b/src/store/disk_retry.h
@@ -22,7 +22,7 @@
 
  private:
   std::optional<Micros> failing_since_;
-  Micros next_delay_, next_log_;
+  Micros next_delay_, next_log_at_;
 };
 
 }  // namespace badgershore::store
--- a/src/store/service/disk_recovery.cpp
+++ b/src/store/service/disk_recovery.cpp
@@ -11,23 +11,23 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     stopped_ = true;
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
 }
 
-WriteOutcome DiskRecovery::Record(WriteOutcome written) {
-  if (written == WriteOutcome::kDurable) OnSuccess();
-  if (written == WriteOutcome::kAbsent) OnFailure(engine_->last_failure());
-  return written;
+WriteOutcome DiskRecovery::LogOutcome(WriteOutcome outcome) {
+  if (outcome == WriteOutcome::kDurable) OnSuccess();
+  if (outcome == WriteOutcome::kAbsent) OnFailure(engine_->last_failure());
+  return outcome;
 }
 
 WriteOutcome DiskRecovery::ResolveUnknownWrite() {
-  WriteOutcome written = WriteOutcome::kUnknown;
+  WriteOutcome outcome = WriteOutcome::kUnknown;
   Micros delay = OnFailure(engine_->last_failure());
-  while (written == WriteOutcome::kUnknown && Wait(delay)) {
-    written = engine_->ResolveUnknownWrite();
-    if (written == WriteOutcome::kUnknown) delay = OnFailure(engine_->last_failure());
+  while (outcome == WriteOutcome::kUnknown && Wait(delay)) {
+    outcome = engine_->ResolveUnknownWrite();
+    if (outcome == WriteOutcome::kUnknown) delay = OnFailure(engine_->last_failure());
   }
-  return Record(written);
+  return LogOutcome(outcome);
 }
 
 bool DiskRecovery::Read(const std::function<void()>& read) {
@@ -68,8 +68,8 @@
 
 bool DiskRecovery::Wait(Micros delay) {
   std::unique_lock<std::mutex> lock(mutex_);
-  const auto span = std::chrono::microseconds(delay.count);
-  return !changed_.wait_for(lock, span, [&] { return stopped_; });
+  const auto timeout = std::chrono::microseconds(delay.count);
+  return !wakeup_.wait_for(lock, timeout, [&] { return stopped_; });
 }
 
 }  // namespace badgershore::store
--- a/src/store/service/disk_recovery.h
+++ b/src/store/service/disk_recovery.h
@@ -27,7 +27,7 @@
 
   // Logs a failure or recovery according to the outcome of a write, and returns that outcome.
   // kUnknown is logged by ResolveUnknownWrite.
-  WriteOutcome Record(WriteOutcome written);
+  WriteOutcome LogOutcome(WriteOutcome outcome);
   // After kUnknown: retries until the outcome is known; kUnknown only after Stop. Throws a
   // DataDamagedError if the data is corrupt.
   WriteOutcome ResolveUnknownWrite();
@@ -44,7 +44,7 @@
   io::Mailbox* mailbox_;
   DiskRetry retry_;
   std::mutex mutex_;
-  std::condition_variable changed_;
+  std::condition_variable wakeup_;
   bool stopped_ = false;
 };
 
--- a/src/store/service/service.cpp
+++ b/src/store/service/service.cpp
@@ -18,29 +18,29 @@
   recovery_.Stop();
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
   thread_.join();
 }
 
 void DiskThread::Write(Batch batch) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    next_ = std::move(batch);
+    next_batch_ = std::move(batch);
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
 }
 
 void DiskThread::Run() {
   for (;;) {
     std::unique_lock<std::mutex> lock(mutex_);
-    changed_.wait(lock, [&] { return ending_ || next_; });
-    if (!next_) return;
-    const Batch batch = *std::exchange(next_, std::nullopt);
+    wakeup_.wait(lock, [&] { return stopping_ || next_batch_; });
+    if (!next_batch_) return;
+    const Batch batch = *std::exchange(next_batch_, std::nullopt);
     lock.unlock();
     try {
-      WriteToTheEnd(batch);
+      WriteUntilResolved(batch);
     } catch (const DataDamagedError& error) {
       mailbox_->Post([this, line = std::string(error.what())] { on_damaged_(line); });
       return;
@@ -48,27 +48,28 @@
   }
 }
 
-void DiskThread::WriteToTheEnd(const Batch& batch) {
-  const auto tell = [&](WriteOutcome written) {
-    mailbox_->Post([this, id = batch.id, written] { on_written_(id, written); });
+void DiskThread::WriteUntilResolved(const Batch& batch) {
+  const auto report = [&](WriteOutcome outcome) {
+    mailbox_->Post([this, id = batch.id, outcome] { on_written_(id, outcome); });
   };
-  const WriteOutcome written = recovery_.Record(engine_->Write(batch));
-  tell(written);
-  if (written != WriteOutcome::kUnknown) return;
+  const WriteOutcome outcome = recovery_.LogOutcome(engine_->Write(batch));
+  report(outcome);
+  if (outcome != WriteOutcome::kUnknown) return;
   const WriteOutcome resolved = recovery_.ResolveUnknownWrite();
-  if (resolved != WriteOutcome::kUnknown) tell(resolved);
+  if (resolved != WriteOutcome::kUnknown) report(resolved);
 }
 
 Service::Service(io::Loop* loop, Engine* engine, Limits limits, size_t max_connections)
     : loop_(loop),
       mailbox_(loop),
-      machine_(limits, engine->Load(), io::Loop::Now()),
+      state_machine_(limits, engine->Load(), io::Loop::Now()),
       server_(
-          loop, [this](http::Message m) { return Handle(std::move(m)); }, max_connections),
+          loop, [this](http::Message message) { return HandleRequest(std::move(message)); },
+          max_connections),
       disk_(
           engine, &mailbox_,
-          [this](uint64_t batch, WriteOutcome written) {
-            machine_.OnWriteCompleted(io::Loop::Now(), batch, written);
+          [this](uint64_t batch, WriteOutcome outcome) {
+            state_machine_.OnWriteCompleted(io::Loop::Now(), batch, outcome);
             Flush();
           },
           [this](const std::string& line) {
@@ -77,68 +78,68 @@
 
 Result<void> Service::Start(const std::string& addr) {
   if (auto started = server_.Start(addr); !started) return started;
-  io::Spawn(Timers());
+  io::Spawn(RunTimers());
   return {};
 }
 
-io::Task<void> Service::Timers() {
+io::Task<void> Service::RunTimers() {
   for (;;) {
     const Micros now = io::Loop::Now();
-    machine_.Tick(now);
+    state_machine_.Tick(now);
     Flush();
-    timer_at_ = machine_.NextDeadline();
+    timer_deadline_ = state_machine_.NextDeadline();
     io::Slot<bool> slot(loop_);
-    timer_ = &slot;
-    co_await slot.Wait(std::max(timer_at_, now + Millis(1)));
-    timer_ = nullptr;
+    timer_slot_ = &slot;
+    co_await slot.Wait(std::max(timer_deadline_, now + Millis(1)));
+    timer_slot_ = nullptr;
   }
 }
 
 void Service::Flush() {
-  StateMachine::Effects out = machine_.TakeEffects();
-  for (auto& [token, answer] : out.responses) {
-    auto it = slots_.find(token);
-    if (it != slots_.end()) it->second->Set(std::move(answer));
+  StateMachine::Effects out = state_machine_.TakeEffects();
+  for (auto& [request_id, response] : out.responses) {
+    auto it = response_slots_.find(request_id);
+    if (it != response_slots_.end()) it->second->Set(std::move(response));
   }
   if (out.write) disk_.Write(std::move(*out.write));
-  if (machine_.writes_blocked() != stalled_) {
-    stalled_ = machine_.writes_blocked();
-    if (stalled_) {
+  if (state_machine_.writes_blocked() != logged_writes_blocked_) {
+    logged_writes_blocked_ = state_machine_.writes_blocked();
+    if (logged_writes_blocked_) {
       spdlog::error("the disk is full or failing; refusing changes until a write succeeds");
     } else {
       spdlog::info("writes to disk succeed again; accepting changes, every lease was renewed");
     }
   }
-  if (timer_ && machine_.NextDeadline() < timer_at_) timer_->Set(true);
+  if (timer_slot_ && state_machine_.NextDeadline() < timer_deadline_) timer_slot_->Set(true);
 }
 
-http::ServerAnswer ToHttp(const Request& request, const std::optional<Response>& answer) {
-  http::ServerAnswer reply;
-  if (!answer) {
-    reply.hang_up = true;
-    return reply;
+http::ServerAnswer ToHttpResponse(const Request& request, const std::optional<Response>& response) {
+  http::ServerAnswer http_response;
+  if (!response) {
+    http_response.hang_up = true;
+    return http_response;
   }
-  wire::StoreAnswer out = wire::FormatStoreAnswer(request, *answer);
-  reply.status = out.status;
-  reply.body = std::move(out.body);
-  reply.retry_after_s = out.status == 503 ? 1 : 0;
-  reply.hang_up = out.status == 0;
-  return reply;
+  wire::StoreAnswer out = wire::FormatStoreAnswer(request, *response);
+  http_response.status = out.status;
+  http_response.body = std::move(out.body);
+  http_response.retry_after_s = out.status == 503 ? 1 : 0;
+  http_response.hang_up = out.status == 0;
+  return http_response;
 }
 
-io::Task<http::ServerAnswer> Service::Handle(http::Message m) {
-  wire::StoreCall call = wire::ParseStoreCall(m.method, m.target, m.body);
+io::Task<http::ServerAnswer> Service::HandleRequest(http::Message message) {
+  wire::StoreCall call = wire::ParseStoreCall(message.method, message.target, message.body);
   if (call.status != 0) {
     co_return http::ServerAnswer{call.status, "{\"error\":\"" + call.error + "\"}", 0};
   }
-  const RequestId token = ++next_token_;
+  const RequestId request_id = ++next_request_id_;
   io::Slot<Response> slot(loop_);
-  slots_[token] = &slot;
-  machine_.Submit(io::Loop::Now(), token, call.request);
+  response_slots_[request_id] = &slot;
+  state_machine_.Submit(io::Loop::Now(), request_id, call.request);
   Flush();
-  std::optional<Response> answer = co_await slot.Wait(kNever);
-  slots_.erase(token);
-  co_return ToHttp(call.request, answer);
+  std::optional<Response> response = co_await slot.Wait(kNever);
+  response_slots_.erase(request_id);
+  co_return ToHttpResponse(call.request, response);
 }
 
 }  // namespace badgershore::store
--- a/src/store/service/service.h
+++ b/src/store/service/service.h
@@ -30,21 +30,21 @@
 
  private:
   void Run();
-  void WriteToTheEnd(const Batch& batch);
+  void WriteUntilResolved(const Batch& batch);
   Engine* engine_;
   io::Mailbox* mailbox_;
   OnWritten on_written_;
   OnDataDamaged on_damaged_;
   DiskRecovery recovery_;
   std::mutex mutex_;
-  std::condition_variable changed_;
-  std::optional<Batch> next_;
-  bool ending_ = false;
+  std::condition_variable wakeup_;
+  std::optional<Batch> next_batch_;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
 // Formats a response for HTTP; none: the connection is closed without a response.
-http::ServerAnswer ToHttp(const Request& request, const std::optional<Response>& answer);
+http::ServerAnswer ToHttpResponse(const Request& request, const std::optional<Response>& response);
 
 class Service {
  public:
@@ -54,21 +54,21 @@
   // To be called before Start.
   void SetOnDataDamaged(OnDataDamaged on_damaged) { on_damaged_ = std::move(on_damaged); }
   std::string address() const { return server_.address(); }
-  const StateMachine& machine() const { return machine_; }
+  const StateMachine& machine() const { return state_machine_; }
 
  private:
-  io::Task<http::ServerAnswer> Handle(http::Message request);
-  io::Task<void> Timers();
+  io::Task<http::ServerAnswer> HandleRequest(http::Message request);
+  io::Task<void> RunTimers();
   void Flush();
 
   io::Loop* loop_;
   io::Mailbox mailbox_;
-  StateMachine machine_;
-  std::unordered_map<RequestId, io::Slot<Response>*> slots_;
-  RequestId next_token_ = 0;
-  bool stalled_ = false;
-  Micros timer_at_ = kNever;
-  io::Slot<bool>* timer_ = nullptr;
+  StateMachine state_machine_;
+  std::unordered_map<RequestId, io::Slot<Response>*> response_slots_;
+  RequestId next_request_id_ = 0;
+  bool logged_writes_blocked_ = false;
+  Micros timer_deadline_ = kNever;
+  io::Slot<bool>* timer_slot_ = nullptr;
   OnDataDamaged on_damaged_;
   http::Server server_;
   DiskThread disk_;  // last member: its thread ends before the others are destroyed
--- a/src/store/state_machine.cpp
+++ b/src/store/state_machine.cpp
@@ -13,7 +13,7 @@
 // Bounds the size of one write.
 constexpr size_t kMaxBatchChanges = 4096;
 
-size_t JsonBytes(const std::string& key, const VersionedValue& item) {
+size_t EstimateJsonBytes(const std::string& key, const VersionedValue& item) {
   return key.size() + item.value.size() + 80;  // 80: field names, stamp and tenancy
 }
 
@@ -29,9 +29,9 @@
       image->items.erase(key);
     }
   }
-  for (const auto& [id, life] : batch.leases) {
-    if (life) {
-      image->leases[id] = *life;
+  for (const auto& [id, time_to_live] : batch.leases) {
+    if (time_to_live) {
+      image->leases[id] = *time_to_live;
     } else {
       image->leases.erase(id);
     }
@@ -48,49 +48,50 @@
 StateMachine::StateMachine(Limits limits, StateImage image, Micros now)
     : limits_(limits),
       state_(std::move(image)),
-      requests_(limits.requests_per_s, now),
-      changes_(limits.changes_per_s, now) {
+      request_limiter_(limits.requests_per_s, now),
+      change_limiter_(limits.changes_per_s, now) {
   for (const auto& [key, item] : state_.items) {
     if (item.lease != 0) lease_keys_[item.lease].insert(key);
   }
   RenewAllLeases(now);
 }
 
-void StateMachine::SetLeaseExpiry(uint64_t lease, Micros end) {
+void StateMachine::SetLeaseExpiry(uint64_t lease, Micros expiry) {
   if (auto it = lease_expiries_.find(lease); it != lease_expiries_.end()) {
     leases_by_expiry_.erase({it->second, lease});
   }
-  lease_expiries_[lease] = end;
-  leases_by_expiry_.emplace(end, lease);
+  lease_expiries_[lease] = expiry;
+  leases_by_expiry_.emplace(expiry, lease);
 }
 
 void StateMachine::RenewAllLeases(Micros now) {
-  for (const auto& [id, life] : state_.leases) SetLeaseExpiry(id, now + life);
+  for (const auto& [id, time_to_live] : state_.leases) SetLeaseExpiry(id, now + time_to_live);
 }
 
 Response StateMachine::MakeResponse(Outcome outcome, std::string error) const {
-  Response a;
-  a.outcome = outcome;
-  a.error = std::move(error);
-  a.revision = state_.revision;
-  return a;
+  Response response;
+  response.outcome = outcome;
+  response.error = std::move(error);
+  response.revision = state_.revision;
+  return response;
 }
 
 // Validates the request and applies the rate limits; neither needs the stored data.
 std::optional<Response> StateMachine::CheckRequest(Micros now, const Request& request) {
   const auto* commit = std::get_if<CompareAndSwapRequest>(&request);
   if (commit) {
-    const size_t most = limits_.commit_changes;
-    if (commit->mutations.size() > most) return MakeResponse(Outcome::kInvalid, "too many changes");
-    if (commit->preconditions.size() > most * 4)
+    const size_t max_count = limits_.commit_changes;
+    if (commit->mutations.size() > max_count)
+      return MakeResponse(Outcome::kInvalid, "too many changes");
+    if (commit->preconditions.size() > max_count * 4)
       return MakeResponse(Outcome::kInvalid, "too many conditions");
     if (commit->bytes > limits_.commit_bytes) return MakeResponse(Outcome::kInvalid, "too large");
-    for (const auto& g : commit->preconditions) {
-      if (!ValidKey(g.key)) return MakeResponse(Outcome::kInvalid, "not a key");
+    for (const auto& precondition : commit->preconditions) {
+      if (!ValidKey(precondition.key)) return MakeResponse(Outcome::kInvalid, "not a key");
     }
-    for (const auto& c : commit->mutations) {
-      if (!ValidKey(c.key)) return MakeResponse(Outcome::kInvalid, "not a key");
-      if (c.value && c.value->size() > limits_.value_bytes) {
+    for (const auto& mutation : commit->mutations) {
+      if (!ValidKey(mutation.key)) return MakeResponse(Outcome::kInvalid, "not a key");
+      if (mutation.value && mutation.value->size() > limits_.value_bytes) {
         return MakeResponse(Outcome::kInvalid, "a value is too large");
       }
     }
@@ -102,10 +103,10 @@
       grant && (grant->time_to_live < kMinTimeToLive || grant->time_to_live > kMaxTimeToLive)) {
     return MakeResponse(Outcome::kInvalid, "lifeMs: expected 100 to 600000");
   }
-  if (!requests_.TryAcquire(now, 1))
+  if (!request_limiter_.TryAcquire(now, 1))
     return MakeResponse(Outcome::kRateLimited, "too many requests");
   if (commit && !commit->mutations.empty() &&
-      !changes_.TryAcquire(now, static_cast<double>(commit->mutations.size()))) {
+      !change_limiter_.TryAcquire(now, static_cast<double>(commit->mutations.size()))) {
     return MakeResponse(Outcome::kRateLimited, "too many changes a second");
   }
   return std::nullopt;
@@ -114,20 +115,20 @@
 void StateMachine::Submit(Micros now, RequestId id, Request request) {
   if (auto refusal = CheckRequest(now, request)) return Respond(id, std::move(*refusal));
   if (const auto* get = std::get_if<GetRequest>(&request)) return Respond(id, Get(*get));
-  if (const auto* range = std::get_if<ListRequest>(&request)) return Respond(id, Range(*range));
+  if (const auto* list = std::get_if<ListRequest>(&request)) return Respond(id, List(*list));
   if (const auto* watch = std::get_if<WatchRequest>(&request)) {
     return OpenWatch(now, id, *watch);
   }
-  if (const auto* touch = std::get_if<RenewLeaseRequest>(&request)) {
+  if (const auto* renew = std::get_if<RenewLeaseRequest>(&request)) {
     // A renewal needs no write, unless the lease has expired or the batch in progress ends it: then
     // it is queued for the next batch.
-    auto end = lease_expiries_.find(touch->lease);
-    if (end == lease_expiries_.end()) return Respond(id, MakeResponse(Outcome::kNotFound));
-    if ((writes_blocked_ || now < end->second) && !batch_.leases.contains(touch->lease)) {
-      SetLeaseExpiry(touch->lease, now + state_.leases.at(touch->lease));
-      Response a = MakeResponse(Outcome::kOk);
-      a.lease = touch->lease;
-      return Respond(id, std::move(a));
+    auto expiry = lease_expiries_.find(renew->lease);
+    if (expiry == lease_expiries_.end()) return Respond(id, MakeResponse(Outcome::kNotFound));
+    if ((writes_blocked_ || now < expiry->second) && !batch_.leases.contains(renew->lease)) {
+      SetLeaseExpiry(renew->lease, now + state_.leases.at(renew->lease));
+      Response response = MakeResponse(Outcome::kOk);
+      response.lease = renew->lease;
+      return Respond(id, std::move(response));
     }
   }
   if (writes_blocked_)
@@ -136,31 +137,32 @@
   if (!write_in_progress_) StartBatch(now);
 }
 
-Response StateMachine::Get(const GetRequest& r) const {
-  auto it = state_.items.find(r.key);
+Response StateMachine::Get(const GetRequest& request) const {
+  auto it = state_.items.find(request.key);
   if (it == state_.items.end()) return MakeResponse(Outcome::kNotFound);
-  Response a = MakeResponse(Outcome::kOk);
-  a.entries.emplace_back(it->first, it->second);
-  return a;
+  Response response = MakeResponse(Outcome::kOk);
+  response.entries.emplace_back(it->first, it->second);
+  return response;
 }
 
-Response StateMachine::Range(const ListRequest& r) const {
-  Response a = MakeResponse(Outcome::kOk);
-  auto it = r.start_after >= r.prefix ? state_.items.upper_bound(r.start_after)
-                                      : state_.items.lower_bound(r.prefix);
-  const size_t most = std::min(r.limit, kMaxListEntries);
+Response StateMachine::List(const ListRequest& request) const {
+  Response response = MakeResponse(Outcome::kOk);
+  auto it = request.start_after >= request.prefix ? state_.items.upper_bound(request.start_after)
+                                                  : state_.items.lower_bound(request.prefix);
+  const size_t max_count = std::min(request.limit, kMaxListEntries);
   size_t bytes = 0;
-  for (; it != state_.items.end() && HasPrefix(it->first, r.prefix); ++it) {
-    const size_t more = JsonBytes(it->first, it->second);
+  for (; it != state_.items.end() && HasPrefix(it->first, request.prefix); ++it) {
+    const size_t entry_bytes = EstimateJsonBytes(it->first, it->second);
     // At least one entry is returned, as otherwise a large one could never be read.
-    if (a.entries.size() >= most || (!a.entries.empty() && bytes + more > kMaxListBytes)) {
-      a.has_more = true;
+    if (response.entries.size() >= max_count ||
+        (!response.entries.empty() && bytes + entry_bytes > kMaxListBytes)) {
+      response.has_more = true;
       break;
     }
-    bytes += more;
-    a.entries.emplace_back(it->first, it->second);
+    bytes += entry_bytes;
+    response.entries.emplace_back(it->first, it->second);
   }
-  return a;
+  return response;
 }
 
 bool StateMachine::CollectChanges(const std::string& prefix, uint64_t since,
@@ -176,28 +178,28 @@
   return true;
 }
 
-void StateMachine::OpenWatch(Micros now, RequestId id, const WatchRequest& r) {
-  Response a = MakeResponse(Outcome::kOk);
-  if (!CollectChanges(r.prefix, r.since_revision, &a.changes))
+void StateMachine::OpenWatch(Micros now, RequestId id, const WatchRequest& request) {
+  Response response = MakeResponse(Outcome::kOk);
+  if (!CollectChanges(request.prefix, request.since_revision, &response.changes))
     return Respond(id, MakeResponse(Outcome::kCompacted));
-  const Micros wait = std::min(r.wait, kMaxWatchWait);
-  if (!a.changes.empty() || wait <= Micros{}) return Respond(id, std::move(a));
+  const Micros wait = std::min(request.wait, kMaxWatchWait);
+  if (!response.changes.empty() || wait <= Micros{}) return Respond(id, std::move(response));
   // Changes up to the current revision have been checked already.
-  watches_[id] = Watch{r.prefix, state_.revision, now + wait};
+  watches_[id] = Watch{request.prefix, state_.revision, now + wait};
   watches_by_deadline_.emplace(now + wait, id);
 }
 
 void StateMachine::ServeWatches(Micros now) {
   for (auto it = watches_.begin(); it != watches_.end();) {
-    Response a = MakeResponse(Outcome::kOk);
-    const bool kept = CollectChanges(it->second.prefix, it->second.since, &a.changes);
-    if (kept && a.changes.empty() && now < it->second.until) {
+    Response response = MakeResponse(Outcome::kOk);
+    const bool kept = CollectChanges(it->second.prefix, it->second.since, &response.changes);
+    if (kept && response.changes.empty() && now < it->second.deadline) {
       it->second.since = state_.revision;
       ++it;
       continue;
     }
-    Respond(it->first, kept ? std::move(a) : MakeResponse(Outcome::kCompacted));
-    watches_by_deadline_.erase({it->second.until, it->first});
+    Respond(it->first, kept ? std::move(response) : MakeResponse(Outcome::kCompacted));
+    watches_by_deadline_.erase({it->second.deadline, it->first});
     it = watches_.erase(it);
   }
 }
@@ -237,58 +239,60 @@
   for (const std::string& key : keys) Put(key, std::nullopt);
 }
 
-Response StateMachine::Commit(const CompareAndSwapRequest& r) {
-  Response a = MakeResponse(Outcome::kOk);
+Response StateMachine::Commit(const CompareAndSwapRequest& request) {
+  Response response = MakeResponse(Outcome::kOk);
   // An ended lease is reported before any failed precondition.
-  for (const auto& c : r.mutations) {
-    if (c.lease != 0 && !PendingLeaseExists(c.lease))
+  for (const auto& mutation : request.mutations) {
+    if (mutation.lease != 0 && !PendingLeaseExists(mutation.lease))
       return MakeResponse(Outcome::kInvalid, "no such lease");
   }
-  a.revision = batch_.revision;
-  for (const auto& g : r.preconditions) {
-    const VersionedValue* item = FindPending(g.key);
-    if ((item ? item->version : 0) != g.version) a.failed_keys.push_back(g.key);
+  response.revision = batch_.revision;
+  for (const auto& precondition : request.preconditions) {
+    const VersionedValue* item = FindPending(precondition.key);
+    if ((item ? item->version : 0) != precondition.version)
+      response.failed_keys.push_back(precondition.key);
   }
-  if (!a.failed_keys.empty()) {
-    a.outcome = Outcome::kConflict;
-    return a;
+  if (!response.failed_keys.empty()) {
+    response.outcome = Outcome::kConflict;
+    return response;
   }
-  const bool changes = std::any_of(r.mutations.begin(), r.mutations.end(),
-                                   [&](const auto& c) { return c.value || FindPending(c.key); });
-  if (!changes) return a;
+  const bool changes = std::any_of(
+      request.mutations.begin(), request.mutations.end(),
+      [&](const auto& mutation) { return mutation.value || FindPending(mutation.key); });
+  if (!changes) return response;
   ++batch_.revision;
-  for (const auto& c : r.mutations) {
-    if (c.value) {
-      Put(c.key, VersionedValue{*c.value, batch_.revision, c.lease});
-    } else if (FindPending(c.key)) {
-      Put(c.key, std::nullopt);
+  for (const auto& mutation : request.mutations) {
+    if (mutation.value) {
+      Put(mutation.key, VersionedValue{*mutation.value, batch_.revision, mutation.lease});
+    } else if (FindPending(mutation.key)) {
+      Put(mutation.key, std::nullopt);
     }
   }
-  a.revision = batch_.revision;
-  return a;
+  response.revision = batch_.revision;
+  return response;
 }
 
 Response StateMachine::Evaluate(Micros now, const Request& request) {
   if (const auto* commit = std::get_if<CompareAndSwapRequest>(&request)) return Commit(*commit);
-  Response a = MakeResponse(Outcome::kOk);
+  Response response = MakeResponse(Outcome::kOk);
   if (const auto* grant = std::get_if<GrantLeaseRequest>(&request)) {
-    a.lease = ++batch_.last_lease_id;
-    batch_.leases[a.lease] = grant->time_to_live;
-  } else if (const auto* release = std::get_if<RevokeLeaseRequest>(&request)) {
-    if (!PendingLeaseExists(release->lease)) return MakeResponse(Outcome::kNotFound);
-    RevokeLease(release->lease);
-    a.lease = release->lease;
-  } else if (const auto* touch = std::get_if<RenewLeaseRequest>(&request)) {
-    if (!PendingLeaseExists(touch->lease)) return MakeResponse(Outcome::kNotFound);
-    SetLeaseExpiry(touch->lease, now + state_.leases.at(touch->lease));
-    a.lease = touch->lease;
+    response.lease = ++batch_.last_lease_id;
+    batch_.leases[response.lease] = grant->time_to_live;
+  } else if (const auto* revoke = std::get_if<RevokeLeaseRequest>(&request)) {
+    if (!PendingLeaseExists(revoke->lease)) return MakeResponse(Outcome::kNotFound);
+    RevokeLease(revoke->lease);
+    response.lease = revoke->lease;
+  } else if (const auto* renew = std::get_if<RenewLeaseRequest>(&request)) {
+    if (!PendingLeaseExists(renew->lease)) return MakeResponse(Outcome::kNotFound);
+    SetLeaseExpiry(renew->lease, now + state_.leases.at(renew->lease));
+    response.lease = renew->lease;
   }
-  return a;
+  return response;
 }
 
 void StateMachine::ExpireLeases(Micros now) {
-  for (const auto& [end, lease] : leases_by_expiry_) {
-    if (end > now) break;
+  for (const auto& [expiry, lease] : leases_by_expiry_) {
+    if (expiry > now) break;
     if (PendingLeaseExists(lease)) RevokeLease(lease);
   }
 }
@@ -302,12 +306,12 @@
     batch_.compacted_revision = state_.compacted_revision;
     ExpireLeases(now);
     while (!queue_.empty() && batch_.change_log.size() < kMaxBatchChanges) {
-      QueuedRequest w = std::move(queue_.front());
+      QueuedRequest queued = std::move(queue_.front());
       queue_.pop_front();
-      pending_responses_.emplace_back(w.id, Evaluate(now, w.request));
+      pending_responses_.emplace_back(queued.id, Evaluate(now, queued.request));
     }
     if (batch_.empty()) {  // nothing to write: the responses depend on durable data only
-      for (auto& [id, answer] : pending_responses_) Respond(id, std::move(answer));
+      for (auto& [id, response] : pending_responses_) Respond(id, std::move(response));
       pending_responses_.clear();
       if (queue_.empty()) return;
       continue;
@@ -338,9 +342,9 @@
     if (item && item->lease != 0) lease_keys_[item->lease].insert(key);
   }
   Apply(batch_, &state_);
-  for (const auto& [lease, life] : batch_.leases) {
-    if (life) {
-      SetLeaseExpiry(lease, now + *life);
+  for (const auto& [lease, time_to_live] : batch_.leases) {
+    if (time_to_live) {
+      SetLeaseExpiry(lease, now + *time_to_live);
       continue;
     }
     if (auto it = lease_expiries_.find(lease); it != lease_expiries_.end()) {
@@ -351,21 +355,21 @@
   }
 }
 
-void StateMachine::OnWriteCompleted(Micros now, uint64_t batch, WriteOutcome written) {
-  if (!write_in_progress_ || batch != batch_.id) return;
-  if (written == WriteOutcome::kUnknown) {
-    for (auto& [id, answer] : pending_responses_) Respond(id, MakeResponse(Outcome::kUnknown));
+void StateMachine::OnWriteCompleted(Micros now, uint64_t batch_id, WriteOutcome outcome) {
+  if (!write_in_progress_ || batch_id != batch_.id) return;
+  if (outcome == WriteOutcome::kUnknown) {
+    for (auto& [id, response] : pending_responses_) Respond(id, MakeResponse(Outcome::kUnknown));
     pending_responses_.clear();
     writes_blocked_ = true;
   } else {
     write_in_progress_ = false;
-    if (written == WriteOutcome::kDurable) {
+    if (outcome == WriteOutcome::kDurable) {
       ApplyDurableBatch(now);
-      for (auto& [id, answer] : pending_responses_) Respond(id, std::move(answer));
+      for (auto& [id, response] : pending_responses_) Respond(id, std::move(response));
       // As after any outage, clients may have been unable to renew their leases.
       if (std::exchange(writes_blocked_, false)) RenewAllLeases(now);
     } else {
-      for (auto& [id, answer] : pending_responses_) {
+      for (auto& [id, response] : pending_responses_) {
         Respond(id, MakeResponse(Outcome::kRefused, "the disk takes no changes"));
       }
       writes_blocked_ = true;
@@ -377,8 +381,8 @@
     ServeWatches(now);
   }
   if (writes_blocked_) {
-    for (QueuedRequest& w : queue_) {
-      Respond(w.id, MakeResponse(Outcome::kRefused, "the disk takes no changes"));
+    for (QueuedRequest& queued : queue_) {
+      Respond(queued.id, MakeResponse(Outcome::kRefused, "the disk takes no changes"));
     }
     queue_.clear();
   } else {
--- a/src/store/state_machine.h
+++ b/src/store/state_machine.h
@@ -49,7 +49,7 @@
   // `now` never decreases. Each request gets exactly one response, identified by its id, now or
   // later.
   void Submit(Micros now, RequestId id, Request request);
-  void OnWriteCompleted(Micros now, uint64_t batch, WriteOutcome written);
+  void OnWriteCompleted(Micros now, uint64_t batch_id, WriteOutcome outcome);
   // Expires leases and ends watches that are due. To be called no later than NextDeadline().
   void Tick(Micros now);
   // To be called after an outage other than a disk failure, during which clients could not renew.
@@ -69,19 +69,19 @@
   struct Watch {
     std::string prefix;
     uint64_t since = 0;
-    Micros until;
+    Micros deadline;
   };
 
-  void Respond(RequestId id, Response answer) {
-    effects_.responses.emplace_back(id, std::move(answer));
+  void Respond(RequestId id, Response response) {
+    effects_.responses.emplace_back(id, std::move(response));
   }
   Response MakeResponse(Outcome outcome, std::string error = "") const;
   std::optional<Response> CheckRequest(Micros now, const Request& request);
 
   // Reads.
-  Response Get(const GetRequest& r) const;
-  Response Range(const ListRequest& r) const;
-  void OpenWatch(Micros now, RequestId id, const WatchRequest& r);
+  Response Get(const GetRequest& request) const;
+  Response List(const ListRequest& request) const;
+  void OpenWatch(Micros now, RequestId id, const WatchRequest& request);
   // Collects the changes for a watch; false if some have been compacted away.
   bool CollectChanges(const std::string& prefix, uint64_t since,
                       std::vector<ChangeLogEntry>* rows) const;
@@ -90,7 +90,7 @@
   // Changes.
   void StartBatch(Micros now);
   Response Evaluate(Micros now, const Request& request);
-  Response Commit(const CompareAndSwapRequest& r);
+  Response Commit(const CompareAndSwapRequest& request);
   const VersionedValue* FindPending(
       const std::string& key) const;  // including the pending batch's changes
   bool PendingLeaseExists(uint64_t lease) const;
@@ -101,11 +101,11 @@
 
   Limits limits_;
   StateImage state_;
-  RateLimiter requests_, changes_;
+  RateLimiter request_limiter_, change_limiter_;
   std::unordered_map<uint64_t, std::set<std::string>> lease_keys_;
   std::unordered_map<uint64_t, Micros> lease_expiries_;
   std::set<std::pair<Micros, uint64_t>> leases_by_expiry_;
-  void SetLeaseExpiry(uint64_t lease, Micros end);
+  void SetLeaseExpiry(uint64_t lease, Micros expiry);
 
   Batch batch_;  // being evaluated or written
   bool write_in_progress_ = false;
--- a/tests/store_disk_failure_test.cpp
+++ b/tests/store_disk_failure_test.cpp
@@ -231,7 +231,7 @@
   FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   const std::string log = Logs()[0], bytes = ReadBytes(log);
-  const size_t acknowledged = CheckLog(bytes).good_bytes;
+  const size_t acknowledged = CheckLog(bytes).valid_bytes;
   ASSERT_GT(acknowledged, 0u);
   ASSERT_LT(acknowledged, bytes.size());
   for (size_t at = 0; at < acknowledged; ++at) {
@@ -250,13 +250,13 @@
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
   const std::string bytes = ReadBytes(Logs()[0]);
-  const size_t last_record = CheckLog(bytes.substr(0, bytes.size() - 1)).good_bytes;
+  const size_t last_record = CheckLog(bytes.substr(0, bytes.size() - 1)).valid_bytes;
   constexpr size_t kLengthOffset = 4, kLengthBits = 16;
   for (size_t bit = 0; bit < kLengthBits; ++bit) {
     std::string damaged = bytes;
     char& byte = damaged[last_record + kLengthOffset + bit / 8];
     byte = static_cast<char>(byte ^ 1 << bit % 8);
-    EXPECT_EQ(CheckLog(damaged).state, LogCheck::State::kDamaged) << bit;
+    EXPECT_EQ(CheckLog(damaged).state, LogCheck::State::kCorrupt) << bit;
   }
 }
 
@@ -285,8 +285,8 @@
   FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   const std::string bytes = ReadBytes(Logs()[0]);
-  WriteBytes(Logs()[1], bytes.substr(0, CheckLog(bytes).good_bytes));
-  EXPECT_EQ(Refusal(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).bad_at) +
+  WriteBytes(Logs()[1], bytes.substr(0, CheckLog(bytes).valid_bytes));
+  EXPECT_EQ(Refusal(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).invalid_offset) +
                            ": corrupt; restore a snapshot");
 }
 
