--- a/src/replication/core/replica.h
+++ b/src/replication/core/replica.h
@@ -62,7 +62,7 @@
 
 class Replica {
  public:
-  enum class Role { kFollower, kProbing, kCandidate, kLeader };
+  enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
 
   Replica(Settings settings, Stored stored, uint64_t seed, Micros now);
 
@@ -77,13 +77,13 @@
   // Effects::committed or this replica stops leading.
   Position Propose(Micros now, store::Batch batch);
 
-  bool CanPropose() const { return ready() && !pending_ && !writing_; }
+  bool CanPropose() const { return ready() && !pending_ && !write_in_progress_; }
   // Leads, and has committed an entry of its term: its state contains all committed batches.
   bool ready() const { return role_ == Role::kLeader && ready_; }
   // Holds the leader lease: no other replica can lead now, so responses sent now are not stale.
   bool MayServe(Micros now) const;
   Micros NextDeadline() const;
-  Effects Take() { return std::exchange(out_, Effects{}); }
+  Effects Take() { return std::exchange(effects_, Effects{}); }
 
   Role role() const { return role_; }
   uint64_t term() const { return term_; }
@@ -96,83 +96,86 @@
 
  private:
   struct Peer {
-    Position position;   // durable there, as last reported
-    bool known = false;  // `position` was reported in this term
+    Position position;            // durable there, as last reported
+    bool position_known = false;  // `position` was reported in this term
     bool member = false;
-    bool blank = false;              // its disk is new: it needs a snapshot whatever its position
-    Micros heard_sent{-1000000000};  // when the newest message that it has responded to was sent
-    Micros entry_sent{-1000000000};  // when an entry or a snapshot chunk was last sent
-    bool wants_image = false;
-    uint64_t image_offset = 0;
+    bool empty_disk = false;  // its disk is new: it needs a snapshot whatever its position
+    // When the newest message that it has responded to was sent.
+    Micros last_acknowledged_sent{-1000000000};
+    Micros last_entry_sent{-1000000000};  // when an entry or a snapshot chunk was last sent
+    bool needs_snapshot = false;
+    uint64_t snapshot_offset = 0;
   };
 
   size_t Majority() const { return settings_.replicas.size() / 2 + 1; }
   void Send(const std::string& to, auto body) {
-    out_.send.emplace_back(to, Message{settings_.self, stored_.history, std::move(body)});
+    effects_.send.emplace_back(to, Message{settings_.self, stored_.history, std::move(body)});
   }
-  void Ask(Write write) {
-    writing_ = write;
-    if (auto* image = std::get_if<StoreImage>(&*writing_)) image->bytes.clear();
-    out_.write = std::move(write);
+  void StartWrite(Write write) {
+    write_in_progress_ = write;
+    if (auto* image = std::get_if<StoreImage>(&*write_in_progress_)) image->bytes.clear();
+    effects_.write = std::move(write);
   }
   // Elections.
-  void Probe(Micros now);
-  void Stand(Micros now);
-  void Win(Micros now);
-  void Follow(Micros now, uint64_t term, const std::string& leader);
+  void StartPreVote(Micros now);
+  void StartElection(Micros now);
+  void BecomeLeader(Micros now);
+  void FollowLeader(Micros now, uint64_t term, const std::string& leader);
   void StepDown(Micros now, uint64_t term);
-  void Rest(Micros now);
-  bool WouldVote(Micros now, const std::string& from, const VoteRequest& request) const;
+  void ResetElectionTimer(Micros now);
+  bool WouldGrantVote(Micros now, const std::string& from, const VoteRequest& request) const;
   void OnVoteRequest(Micros now, const std::string& from, const VoteRequest& request);
-  void OnVoteAnswer(Micros now, const std::string& from, const VoteAnswer& answer);
+  void OnVoteResponse(Micros now, const std::string& from, const VoteAnswer& response);
   // Followers.
-  bool Accept(Micros now, const std::string& from, uint64_t term, const std::string& history);
+  bool AcceptLeader(Micros now, const std::string& from, uint64_t term, const std::string& history);
   void OnAppend(Micros now, const Message& message, const Append& append);
-  void OnImagePart(Micros now, const Message& message, const ImagePart& part);
-  void Answer(const std::string& to, Micros sent);
-  void JoinIfDue(Micros now);
+  void OnSnapshotChunk(Micros now, const Message& message, const ImagePart& chunk);
+  void SendAppendResponse(const std::string& to, Micros sent);
+  void BecomeMemberIfReady(Micros now);
   // The leader.
-  void Begin(Micros now, Entry entry);
-  void Heartbeat(Micros now);
-  void OnAppendAnswer(Micros now, const Message& message, const AppendAnswer& answer);
-  void Advance(Micros now, const std::string& name, Peer* peer);
-  void SendImagePart(Micros now, const std::string& name, Peer* peer);
-  void CommitIfDue();
-  void Keep(Entry entry);
-  void Forget();
+  void AppendEntry(Micros now, Entry entry);
+  void SendHeartbeats(Micros now);
+  void OnAppendResponse(Micros now, const Message& message, const AppendAnswer& response);
+  void Replicate(Micros now, const std::string& name, Peer* peer);
+  void SendSnapshotChunk(Micros now, const std::string& name, Peer* peer);
+  void CommitIfMajority();
+  void CacheEntry(Entry entry);
+  void ClearEntryCache();
 
   Settings settings_;
   Stored stored_;
-  uint64_t random_;
+  uint64_t random_state_;
   Role role_ = Role::kFollower;
   uint64_t term_ = 0;
   std::string leader_;
-  Micros started_, heard_{-1000000000};  // heard_: the last message of this term's leader
+  Micros started_at_;
+  Micros leader_heard_at_{-1000000000};  // the last message of this term's leader
   Micros election_at_;                   // when a follower starts an election
   std::map<std::string, bool> votes_;    // of this pre-vote or election
-  std::optional<Write> writing_;
-  struct Answering {
+  std::optional<Write> write_in_progress_;
+  struct PendingResponse {
     std::string to;
     Micros sent;
   };
-  std::optional<Answering> answering_;     // sent when the write in progress is durable
-  std::optional<std::string> voting_for_;  // candidate of the vote being written
-  std::string image_;                      // the snapshot being received
-  Position image_position_;
+  // Sent when the write in progress is durable.
+  std::optional<PendingResponse> pending_append_response_;
+  std::optional<std::string> pending_vote_candidate_;  // candidate of the vote being written
+  std::string received_snapshot_;                      // the snapshot being received
+  Position received_snapshot_position_;
   // Used only while leading.
   std::map<std::string, Peer> peers_;
   std::optional<Position> pending_;  // proposed and not yet committed
-  bool ready_ = false, own_durable_ = false;
-  Position last_;             // of the last entry appended
-  std::deque<Entry> recent_;  // the newest entries, for followers that lag slightly
-  size_t recent_bytes_ = 0;
+  bool ready_ = false, pending_durable_ = false;
+  Position last_position_;            // of the last entry appended
+  std::deque<Entry> recent_entries_;  // the newest entries, for followers that lag slightly
+  size_t recent_entries_bytes_ = 0;
   Micros heartbeat_at_;
-  Micros majority_at_;  // when it last held the leader lease
-  Micros proposed_at_;  // when `pending_` was appended
-  bool loading_ = false;
-  std::string sending_;  // the snapshot, while a peer needs it
-  Position sending_position_;
-  Effects out_;
+  Micros majority_heard_at_;  // when it last held the leader lease
+  Micros proposed_at_;        // when `pending_` was appended
+  bool snapshot_loading_ = false;
+  std::string snapshot_;  // the snapshot, while a peer needs it
+  Position snapshot_position_;
+  Effects effects_;
 };
 
 }  // namespace badgershore::replication
--- a/src/replication/service/codec.cpp
+++ b/src/replication/service/codec.cpp
@@ -38,14 +38,14 @@
 namespace replication {
 namespace {
 
-constexpr uint8_t kForm = 1;
+constexpr uint8_t kFormat = 1;
 
 template <typename T>
 std::string Pack(const T& value) {
   std::ostringstream out;
   {
     cereal::PortableBinaryOutputArchive archive(out);
-    archive(kForm, value);
+    archive(kFormat, value);
   }
   return std::move(out).str();
 }
@@ -55,9 +55,9 @@
   try {
     std::istringstream in{std::string(bytes)};
     cereal::PortableBinaryInputArchive archive(in);
-    uint8_t form = 0;
-    archive(form);
-    if (form != kForm) return std::nullopt;
+    uint8_t format = 0;
+    archive(format);
+    if (format != kFormat) return std::nullopt;
     T value;
     archive(value);
     return value;
--- a/src/replication/service/service.cpp
+++ b/src/replication/service/service.cpp
@@ -17,16 +17,16 @@
 constexpr Micros kMessageTimeout = Seconds(1);
 // The longest watch (60 s) and a margin for the network.
 constexpr Micros kForwardTimeout = Seconds(65);
-constexpr int kMostUnderWay = 16;
-constexpr size_t kKeptConnections = 8;
+constexpr int kMaxMessagesInFlight = 16;
+constexpr size_t kMaxIdleConnections = 8;
 constexpr http::Limits kMessageLimits{8 * 1024, 16 * 1024, 1024UL * 1024 * 1024};
-constexpr http::Limits kAnswerLimits{8 * 1024, 16 * 1024, 64UL * 1024 * 1024};
+constexpr http::Limits kResponseLimits{8 * 1024, 16 * 1024, 64UL * 1024 * 1024};
 const std::string kForwarded = "/forwarded";
 const std::string kStatusTarget = "/replica/status";
 
-http::ServerAnswer NoLeader() { return {503, R"({"error":"no replica leads"})", 1}; }
+http::ServerAnswer NoLeaderResponse() { return {503, R"({"error":"no replica leads"})", 1}; }
 
-Settings SettingsOf(const ReplicaSet& set, const std::string& name) {
+Settings MakeSettings(const ReplicaSet& set, const std::string& name) {
   Settings settings;
   settings.self = name;
   for (const ReplicaAddress& replica : set.replicas) settings.replicas.push_back(replica.name);
@@ -37,10 +37,10 @@
 
 // Loads a replica's metadata. An empty directory, of a lost disk or a new replica, yields none: the
 // replica then needs the leader's state.
-Stored StoredOf(store::Engine* engine) {
-  const std::string note = engine->LoadOwnerMetadata();
-  if (!note.empty()) {
-    const std::optional<Stored> stored = DecodeStored(note);
+Stored LoadStored(store::Engine* engine) {
+  const std::string owner_metadata = engine->LoadOwnerMetadata();
+  if (!owner_metadata.empty()) {
+    const std::optional<Stored> stored = DecodeStored(owner_metadata);
     if (!stored) throw store::DiskError("the replica's metadata record has an unknown format");
     return *stored;
   }
@@ -55,7 +55,7 @@
     case Replica::Role::kLeader:
       return "leader";
     case Replica::Role::kCandidate:
-    case Replica::Role::kProbing:
+    case Replica::Role::kPreCandidate:
       return "candidate";
     case Replica::Role::kFollower:
       return "follower";
@@ -81,11 +81,13 @@
       limits_(limits),
       self_(*set.Find(name)),
       mailbox_(loop),
-      replica_(SettingsOf(set, name), StoredOf(engine), std::random_device{}(), io::Loop::Now()),
-      clients_(
+      replica_(MakeSettings(set, name), LoadStored(engine), std::random_device{}(),
+               io::Loop::Now()),
+      client_server_(
           loop, [this](http::Message m) { return HandleClient(std::move(m)); }, max_connections),
-      messages_(
-          loop, [this](http::Message m) { return HandlePeer(std::move(m)); }, 256, kMessageLimits),
+      replica_server_(
+          loop, [this](http::Message m) { return HandleReplicaMessage(std::move(m)); }, 256,
+          kMessageLimits),
       disk_recovery_(engine, &mailbox_),
       disk_(&mailbox_) {
   for (const ReplicaAddress& replica : set.replicas) {
@@ -93,9 +95,9 @@
     Peer& peer = peers_[replica.name];
     peer.address = replica;
     peer.messages =
-        std::make_unique<http::Client>(loop, replica.peer, kKeptConnections, kAnswerLimits);
+        std::make_unique<http::Client>(loop, replica.peer, kMaxIdleConnections, kResponseLimits);
     peer.forwards =
-        std::make_unique<http::Client>(loop, replica.client, kKeptConnections, kAnswerLimits);
+        std::make_unique<http::Client>(loop, replica.client, kMaxIdleConnections, kResponseLimits);
   }
 }
 
@@ -103,81 +105,81 @@
 ReplicatedService::~ReplicatedService() { disk_recovery_.Stop(); }
 
 Result<void> ReplicatedService::Start() {
-  if (auto started = clients_.Start(self_.client); !started) return started;
-  if (auto started = messages_.Start(self_.peer); !started) return started;
-  io::Spawn(Ticks());
+  if (auto started = client_server_.Start(self_.client); !started) return started;
+  if (auto started = replica_server_.Start(self_.peer); !started) return started;
+  io::Spawn(RunTicks());
   return {};
 }
 
-io::Task<void> ReplicatedService::Ticks() {
+io::Task<void> ReplicatedService::RunTicks() {
   for (;;) {
     const Micros now = io::Loop::Now();
     replica_.Tick(now);
-    if (machine_) machine_->Tick(now);
+    if (state_machine_) state_machine_->Tick(now);
     Flush();
     co_await loop_->Sleep(kTick);
   }
 }
 
-bool ReplicatedService::Serves() const {
-  return machine_ && replica_.ready() && replica_.term() == machine_term_ &&
+bool ReplicatedService::CanServe() const {
+  return state_machine_ && replica_.ready() && replica_.term() == state_machine_term_ &&
          replica_.MayServe(io::Loop::Now());
 }
 
 void ReplicatedService::Flush() {
   if (std::exchange(flushing_, true)) return;
   for (;;) {
-    FollowRole();
-    FlushMachine();
+    UpdateRole();
+    FlushStateMachine();
     Effects out = replica_.Take();
     if (out.send.empty() && !out.write && !out.load_image && out.committed.empty()) break;
     for (auto& [to, message] : out.send) io::Spawn(Post(&peers_.at(to), Encode(message)));
-    if (out.write) StoreOnDisk(*out.write);
+    if (out.write) WriteToDisk(*out.write);
     if (out.load_image) LoadImage();
     for (const Position& position : out.committed) {
-      if (!machine_ || !proposed_ || proposed_->position != position) continue;
-      const uint64_t batch = std::exchange(proposed_, std::nullopt)->batch;
-      machine_->OnWriteCompleted(io::Loop::Now(), batch, store::WriteOutcome::kDurable);
+      if (!state_machine_ || !proposal_ || proposal_->position != position) continue;
+      const uint64_t batch = std::exchange(proposal_, std::nullopt)->batch;
+      state_machine_->OnWriteCompleted(io::Loop::Now(), batch, store::WriteOutcome::kDurable);
     }
   }
   flushing_ = false;
 }
 
-void ReplicatedService::FlushMachine() {
-  if (!machine_) return;
-  store::StateMachine::Effects out = machine_->TakeEffects();
-  for (auto& [token, answer] : out.responses) {
-    const auto slot = slots_.find(token);
-    if (slot != slots_.end()) slot->second->Set(std::move(answer));
+void ReplicatedService::FlushStateMachine() {
+  if (!state_machine_) return;
+  store::StateMachine::Effects out = state_machine_->TakeEffects();
+  for (auto& [request_id, response] : out.responses) {
+    const auto slot = response_slots_.find(request_id);
+    if (slot != response_slots_.end()) slot->second->Set(std::move(response));
   }
-  if (out.write) waiting_batch_ = std::move(out.write);
-  if (!waiting_batch_ || !replica_.CanPropose()) return;
-  const uint64_t id = waiting_batch_->id;
+  if (out.write) queued_batch_ = std::move(out.write);
+  if (!queued_batch_ || !replica_.CanPropose()) return;
+  const uint64_t id = queued_batch_->id;
   const Position position =
-      replica_.Propose(io::Loop::Now(), *std::exchange(waiting_batch_, std::nullopt));
-  proposed_ = Proposed{position, id};
+      replica_.Propose(io::Loop::Now(), *std::exchange(queued_batch_, std::nullopt));
+  proposal_ = Proposal{position, id};
 }
 
-void ReplicatedService::StoreOnDisk(const Write& write) {
+void ReplicatedService::WriteToDisk(const Write& write) {
   // The metadata as of this write; the core updates its own when the write is durable.
-  Stored after = replica_.stored();
+  Stored stored_after = replica_.stored();
   if (const auto* vote = std::get_if<StoreVote>(&write)) {
-    after.vote = vote->vote;
-    after.member = vote->member;
+    stored_after.vote = vote->vote;
+    stored_after.member = vote->member;
   } else if (const auto* entry = std::get_if<StoreEntry>(&write)) {
-    after.position = entry->entry.position;
-    after.history = entry->history;
+    stored_after.position = entry->entry.position;
+    stored_after.history = entry->history;
   } else if (const auto* image = std::get_if<StoreImage>(&write)) {
-    after.position = image->position;
-    after.history = image->history;
+    stored_after.position = image->position;
+    stored_after.history = image->history;
   }
-  PostDiskJob([this, write, note = Encode(after)]() -> std::function<void()> {
-    store::WriteOutcome written = disk_recovery_.LogOutcome(WriteToEngine(write, note));
+  PostDiskJob([this, write, owner_metadata = Encode(stored_after)]() -> std::function<void()> {
+    store::WriteOutcome outcome = disk_recovery_.LogOutcome(WriteToEngine(write, owner_metadata));
     // The core must not act on a guess, so the disk thread does nothing else until the outcome is
     // known.
-    if (written == store::WriteOutcome::kUnknown) written = disk_recovery_.ResolveUnknownWrite();
-    if (written == store::WriteOutcome::kUnknown) return [] {};
-    return [this, ok = written == store::WriteOutcome::kDurable] {
+    if (outcome == store::WriteOutcome::kUnknown) outcome = disk_recovery_.ResolveUnknownWrite();
+    if (outcome == store::WriteOutcome::kUnknown) return [] {};
+    return [this, ok = outcome == store::WriteOutcome::kDurable] {
       if (!ok) spdlog::error("a write to disk failed");
       replica_.OnStored(io::Loop::Now(), ok);
       Flush();
@@ -185,16 +187,17 @@
   });
 }
 
-store::WriteOutcome ReplicatedService::WriteToEngine(const Write& write, const std::string& note) {
+store::WriteOutcome ReplicatedService::WriteToEngine(const Write& write,
+                                                     const std::string& owner_metadata) {
   if (const auto* entry = std::get_if<StoreEntry>(&write)) {
     const auto& batch = entry->entry.batch;
-    return engine_->WriteWithOwnerMetadata(batch ? &*batch : nullptr, note);
+    return engine_->WriteWithOwnerMetadata(batch ? &*batch : nullptr, owner_metadata);
   }
   if (const auto* image = std::get_if<StoreImage>(&write)) {
     const auto state = DecodeImage(image->bytes);
-    return state ? engine_->Replace(*state, note) : store::WriteOutcome::kAbsent;
+    return state ? engine_->Replace(*state, owner_metadata) : store::WriteOutcome::kAbsent;
   }
-  return engine_->WriteWithOwnerMetadata(nullptr, note);
+  return engine_->WriteWithOwnerMetadata(nullptr, owner_metadata);
 }
 
 void ReplicatedService::PostDiskJob(io::Worker::Job job) {
@@ -226,7 +229,7 @@
   });
 }
 
-void ReplicatedService::FollowRole() {
+void ReplicatedService::UpdateRole() {
   if (replica_.role() != logged_role_) {
     logged_role_ = replica_.role();
     const bool follows = logged_role_ == Replica::Role::kFollower;
@@ -234,52 +237,53 @@
                  replica_.term());
   }
   const bool leads = replica_.ready();
-  if (machine_ && (!leads || machine_term_ != replica_.term())) DropMachine();
-  if (!leads || machine_ || loading_term_ == replica_.term()) return;
+  if (state_machine_ && (!leads || state_machine_term_ != replica_.term())) StopStateMachine();
+  if (!leads || state_machine_ || loading_term_ == replica_.term()) return;
   loading_term_ = replica_.term();
   PostDiskJob([this, term = loading_term_]() -> std::function<void()> {
     auto image = std::make_shared<store::StateImage>();
     if (!disk_recovery_.Read([&] { *image = engine_->Load(); })) return [] {};
     return [this, term, image] {
-      StartMachine(term, std::move(*image));
+      StartStateMachine(term, std::move(*image));
       Flush();
     };
   });
 }
 
-void ReplicatedService::StartMachine(uint64_t term, store::StateImage image) {
+void ReplicatedService::StartStateMachine(uint64_t term, store::StateImage image) {
   if (!replica_.ready() || replica_.term() != term) return;
   spdlog::info("serving clients as leader of term {}: {} keys at revision {}", term,
                image.items.size(), image.revision);
-  machine_ = std::make_unique<store::StateMachine>(limits_, std::move(image), io::Loop::Now());
-  machine_term_ = term;
+  state_machine_ =
+      std::make_unique<store::StateMachine>(limits_, std::move(image), io::Loop::Now());
+  state_machine_term_ = term;
 }
 
 // Waiting clients get no response, because the outcome of their requests is unknown here.
-void ReplicatedService::DropMachine() {
-  machine_.reset();
-  waiting_batch_.reset();
-  proposed_.reset();
-  for (auto& [token, slot] : slots_) slot->Set(std::nullopt);
+void ReplicatedService::StopStateMachine() {
+  state_machine_.reset();
+  queued_batch_.reset();
+  proposal_.reset();
+  for (auto& [request_id, slot] : response_slots_) slot->Set(std::nullopt);
 }
 
 io::Task<void> ReplicatedService::Post(Peer* peer, std::string body) {
-  if (peer->under_way >= kMostUnderWay)
+  if (peer->in_flight >= kMaxMessagesInFlight)
     co_return;  // the peer is not responding; a later message will be sent
-  ++peer->under_way;
+  ++peer->in_flight;
   co_await peer->messages->Request("POST", "/message", std::move(body), kMessageTimeout);
-  --peer->under_way;
+  --peer->in_flight;
 }
 
-io::Task<http::ServerAnswer> ReplicatedService::HandlePeer(http::Message request) {
+io::Task<http::ServerAnswer> ReplicatedService::HandleReplicaMessage(http::Message request) {
   const std::optional<Message> message = DecodeMessage(request.body);
   if (!message) {
     spdlog::error("rejected a replica message with an unknown format");
     co_return http::ServerAnswer{400, R"({"error":"not a replica's message"})", 0};
   }
-  const bool other = !message->history.empty() && !replica_.stored().history.empty() &&
-                     message->history != replica_.stored().history;
-  if (other)
+  const bool other_service = !message->history.empty() && !replica_.stored().history.empty() &&
+                             message->history != replica_.stored().history;
+  if (other_service)
     spdlog::error("replica {} belongs to another state service; ignoring its message",
                   message->from);
   replica_.OnMessage(io::Loop::Now(), *message);
@@ -288,58 +292,58 @@
 }
 
 io::Task<http::ServerAnswer> ReplicatedService::HandleClient(http::Message request) {
-  if (request.target == kStatusTarget) co_return StatusAnswer();
+  if (request.target == kStatusTarget) co_return StatusResponse();
   const bool forwarded = request.target.rfind(kForwarded, 0) == 0;
   if (forwarded) request.target.erase(0, kForwarded.size());
-  if (Serves()) co_return co_await HandleHere(std::move(request));
+  if (CanServe()) co_return co_await HandleLocally(std::move(request));
   const auto leader = peers_.find(replica_.leader());
-  if (forwarded || leader == peers_.end()) co_return NoLeader();
+  if (forwarded || leader == peers_.end()) co_return NoLeaderResponse();
   co_return co_await Forward(&leader->second, std::move(request));
 }
 
-io::Task<http::ServerAnswer> ReplicatedService::HandleHere(http::Message request) {
+io::Task<http::ServerAnswer> ReplicatedService::HandleLocally(http::Message request) {
   wire::StoreCall call = wire::ParseStoreCall(request.method, request.target, request.body);
   if (call.status != 0) {
     co_return http::ServerAnswer{call.status, "{\"error\":\"" + call.error + "\"}", 0};
   }
-  const store::RequestId token = ++next_token_;
+  const store::RequestId request_id = ++next_request_id_;
   io::Slot<std::optional<store::Response>> slot(loop_);
-  slots_[token] = &slot;
-  machine_->Submit(io::Loop::Now(), token, call.request);
+  response_slots_[request_id] = &slot;
+  state_machine_->Submit(io::Loop::Now(), request_id, call.request);
   Flush();
-  const std::optional<std::optional<store::Response>> answer = co_await slot.Wait(kNever);
-  slots_.erase(token);
-  const bool answered = answer && *answer;
-  const bool refused = answered && ((*answer)->outcome == store::Outcome::kRefused ||
-                                    (*answer)->outcome == store::Outcome::kRateLimited ||
-                                    (*answer)->outcome == store::Outcome::kInvalid);
+  const std::optional<std::optional<store::Response>> response = co_await slot.Wait(kNever);
+  response_slots_.erase(request_id);
+  const bool has_response = response && *response;
+  const bool refused = has_response && ((*response)->outcome == store::Outcome::kRefused ||
+                                        (*response)->outcome == store::Outcome::kRateLimited ||
+                                        (*response)->outcome == store::Outcome::kInvalid);
   // The response may be stale once another replica can lead.
-  if (!answered || (!refused && !Serves()))
+  if (!has_response || (!refused && !CanServe()))
     co_return store::ToHttpResponse(call.request, std::nullopt);
-  co_return store::ToHttpResponse(call.request, *answer);
+  co_return store::ToHttpResponse(call.request, *response);
 }
 
 io::Task<http::ServerAnswer> ReplicatedService::Forward(Peer* leader, http::Message request) {
   std::string target = kForwarded + request.target;
-  http::ClientAnswer answer = co_await leader->forwards->Request(
+  http::ClientAnswer response = co_await leader->forwards->Request(
       request.method, std::move(target), std::move(request.body), kForwardTimeout);
-  if (answer.outcome == http::ClientAnswer::Outcome::kNotSent) co_return NoLeader();
-  http::ServerAnswer reply;
-  reply.hang_up = !answer.answered();
-  reply.status = answer.status;
-  reply.body = std::move(answer.body);
-  reply.retry_after_s = answer.status == 503 ? 1 : 0;
-  co_return reply;
+  if (response.outcome == http::ClientAnswer::Outcome::kNotSent) co_return NoLeaderResponse();
+  http::ServerAnswer http_response;
+  http_response.hang_up = !response.answered();
+  http_response.status = response.status;
+  http_response.body = std::move(response.body);
+  http_response.retry_after_s = response.status == 503 ? 1 : 0;
+  co_return http_response;
 }
 
-http::ServerAnswer ReplicatedService::StatusAnswer() const {
+http::ServerAnswer ReplicatedService::StatusResponse() const {
   const Micros now = io::Loop::Now();
   const Stored& stored = replica_.stored();
   wire::Writer w;
   w.Begin().Put("name", self_.name).Put("role", RoleName(replica_.role()));
   w.Put("member", stored.member).Put("term", replica_.term()).Put("leader", replica_.leader());
   w.Put("positionTerm", stored.position.term).Put("positionIndex", stored.position.index);
-  w.Put("serves", Serves()).Put("reachable", static_cast<uint64_t>(replica_.reachable(now)));
+  w.Put("serves", CanServe()).Put("reachable", static_cast<uint64_t>(replica_.reachable(now)));
   return {200, w.Put("detail", replica_.Describe(now)).End().Done(), 0};
 }
 
--- a/src/replication/service/service.h
+++ b/src/replication/service/service.h
@@ -41,33 +41,33 @@
   struct Peer {
     ReplicaAddress address;
     std::unique_ptr<http::Client> messages, forwards;
-    int under_way = 0;  // messages without a response yet
+    int in_flight = 0;  // messages without a response yet
   };
-  struct Proposed {
+  struct Proposal {
     Position position;
     uint64_t batch = 0;
   };
 
   io::Task<http::ServerAnswer> HandleClient(http::Message request);
-  io::Task<http::ServerAnswer> HandlePeer(http::Message request);
-  io::Task<http::ServerAnswer> HandleHere(http::Message request);
+  io::Task<http::ServerAnswer> HandleReplicaMessage(http::Message request);
+  io::Task<http::ServerAnswer> HandleLocally(http::Message request);
   io::Task<http::ServerAnswer> Forward(Peer* leader, http::Message request);
-  http::ServerAnswer StatusAnswer() const;
-  io::Task<void> Ticks();
+  http::ServerAnswer StatusResponse() const;
+  io::Task<void> RunTicks();
   io::Task<void> Post(Peer* peer, std::string body);
   // Executes the effects of the replication core and the state machine.
   void Flush();
-  void FlushMachine();
+  void FlushStateMachine();
   // Runs `job` on the disk thread after all earlier jobs, then the function that it returns in the
   // event loop.
   void PostDiskJob(io::Worker::Job job);
-  void StoreOnDisk(const Write& write);
-  store::WriteOutcome WriteToEngine(const Write& write, const std::string& note);
+  void WriteToDisk(const Write& write);
+  store::WriteOutcome WriteToEngine(const Write& write, const std::string& owner_metadata);
   void LoadImage();
-  void FollowRole();
-  void StartMachine(uint64_t term, store::StateImage image);
-  void DropMachine();
-  bool Serves() const;
+  void UpdateRole();
+  void StartStateMachine(uint64_t term, store::StateImage image);
+  void StopStateMachine();
+  bool CanServe() const;
 
   io::Loop* loop_;
   store::Engine* engine_;
@@ -77,15 +77,15 @@
   Replica replica_;
   std::map<std::string, Peer> peers_;
   // Set while this replica leads and has loaded its state.
-  std::unique_ptr<store::StateMachine> machine_;
-  uint64_t machine_term_ = 0, loading_term_ = 0;
-  std::optional<store::Batch> waiting_batch_;
-  std::optional<Proposed> proposed_;
-  std::unordered_map<store::RequestId, io::Slot<std::optional<store::Response>>*> slots_;
-  store::RequestId next_token_ = 0;
+  std::unique_ptr<store::StateMachine> state_machine_;
+  uint64_t state_machine_term_ = 0, loading_term_ = 0;
+  std::optional<store::Batch> queued_batch_;
+  std::optional<Proposal> proposal_;
+  std::unordered_map<store::RequestId, io::Slot<std::optional<store::Response>>*> response_slots_;
+  store::RequestId next_request_id_ = 0;
   bool flushing_ = false;
   Replica::Role logged_role_ = Replica::Role::kFollower;
-  http::Server clients_, messages_;
+  http::Server client_server_, replica_server_;
   store::OnDataDamaged on_damaged_;
   store::DiskRecovery disk_recovery_;
   io::Worker disk_;  // last member: its thread ends before the others are destroyed
