--- a/src/config/cells.cpp
+++ b/src/config/cells.cpp
@@ -5,15 +5,16 @@
 
 namespace badgershore::config {
 
-CellsPlan LoadCells(const std::string& file, const std::string& back) {
-  return ParseCells(ReadFile(file), file, back);
+CellsPlan LoadCells(const std::string& file, const std::string& peer_address) {
+  return ParseCells(ReadFile(file), file, peer_address);
 }
 
-CellsPlan ParseCells(const std::string& text, const std::string& file, const std::string& back) {
+CellsPlan ParseCells(const std::string& text, const std::string& file,
+                     const std::string& peer_address) {
   YamlMap top = YamlMap::Parse(text, file);
   CellsPlan plan;
-  std::set<std::string> names, backs;
-  int founding = 0;
+  std::set<std::string> names, addresses;
+  int initial_members = 0;
   top.Each("cells", [&](YamlMap m) {
     CellSite cell;
     cell.name = m.Text("name");
@@ -26,24 +27,24 @@
       m.Fail("backs", "the addresses of its controllers");
     for (const std::string& addr : cell.addresses) {
       if (addr.find(':') == std::string::npos) m.Fail("backs", "addresses as HOST:PORT");
-      if (!backs.insert(addr).second) m.Fail("backs", "addresses that no other cell uses");
-      if (addr == back) plan.self = cell.name;
+      if (!addresses.insert(addr).second) m.Fail("backs", "addresses that no other cell uses");
+      if (addr == peer_address) plan.self = cell.name;
     }
-    founding += cell.initial_member;
+    initial_members += cell.initial_member;
     m.NoOthers();
     plan.cells.push_back(std::move(cell));
   });
   if (plan.cells.empty()) top.Fail("cells", "at least one cell");
   if (plan.cells.size() > 16) top.Fail("cells", "at most 16 cells");
-  if (founding == 0) top.Fail("cells", "at least one founding cell");
-  if (plan.self.empty()) top.Fail("cells", "a cell with this controller's address " + back);
+  if (initial_members == 0) top.Fail("cells", "at least one founding cell");
+  if (plan.self.empty()) top.Fail("cells", "a cell with this controller's address " + peer_address);
   for (const CellSite& c : plan.cells) {
     if (c.successor.empty()) continue;
     if (c.name == plan.self) top.Fail("cells", "no heir for a cell that still has controllers");
-    bool good = false;
+    bool valid_heir = false;
     for (const CellSite& other : plan.cells)
-      good |= other.name == c.successor && other.successor.empty();
-    if (!good) top.Fail("cells", "the heir of " + c.name + " to be a cell without an heir");
+      valid_heir |= other.name == c.successor && other.successor.empty();
+    if (!valid_heir) top.Fail("cells", "the heir of " + c.name + " to be a cell without an heir");
   }
   top.NoOthers();
   return plan;
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -16,58 +16,59 @@
 using wire::Value;
 
 // Reads the fields of one JSON object; every error names the file and the path of the field.
-class Reader {
+class JsonReader {
  public:
-  Reader(const Value& v, std::string file, std::string path)
-      : v_(v), file_(std::move(file)), path_(std::move(path)) {}
+  JsonReader(const Value& object, std::string file, std::string path)
+      : object_(object), file_(std::move(file)), path_(std::move(path)) {}
 
   [[noreturn]] void Fail(const std::string& field, const std::string& expected) const {
     throw Error(file_ + ": " + path_ + field + ": expected " + expected);
   }
-  std::string Name(const char* field) const {
-    const Value* f = Find(v_, field);
-    if (!f || !f->IsString() || f->GetStringLength() == 0) Fail(field, "a non-empty string");
-    return f->GetString();
+  std::string NonEmptyString(const char* field) const {
+    const Value* value = Find(object_, field);
+    if (!value || !value->IsString() || value->GetStringLength() == 0)
+      Fail(field, "a non-empty string");
+    return value->GetString();
   }
   std::string Address(const char* field) const {
-    std::string s = Name(field);
+    std::string s = NonEmptyString(field);
     const size_t colon = s.rfind(':');
     const int port = colon == std::string::npos ? 0 : std::atoi(s.c_str() + colon + 1);
     if (colon == 0 || port <= 0 || port > 65535) Fail(field, "ADDRESS:PORT");
     return s;
   }
-  double Number(const char* field, double least, double most) const {
-    const Value* f = Find(v_, field);
-    if (!f || !f->IsNumber() || f->GetDouble() < least || f->GetDouble() > most) {
+  double Number(const char* field, double min, double max) const {
+    const Value* value = Find(object_, field);
+    if (!value || !value->IsNumber() || value->GetDouble() < min || value->GetDouble() > max) {
       std::ostringstream range;
-      range << "a number from " << least << " to " << most;
+      range << "a number from " << min << " to " << max;
       Fail(field, range.str());
     }
-    return f->GetDouble();
+    return value->GetDouble();
   }
-  double NumberOr(const char* field, double otherwise) const {
-    return Find(v_, field) ? Number(field, 0, 1e12) : otherwise;
+  double NumberOr(const char* field, double default_value) const {
+    return Find(object_, field) ? Number(field, 0, 1e12) : default_value;
   }
-  Micros Span(const char* field) const { return Seconds(Number(field, 0.001, 1e6)); }
-  Reader Object(const char* field) const {
-    const Value* f = Find(v_, field);
-    if (!f || !f->IsObject()) Fail(field, "an object");
-    return {*f, file_, path_ + field + "."};
+  Micros Duration(const char* field) const { return Seconds(Number(field, 0.001, 1e6)); }
+  JsonReader Object(const char* field) const {
+    const Value* value = Find(object_, field);
+    if (!value || !value->IsObject()) Fail(field, "an object");
+    return {*value, file_, path_ + field + "."};
   }
   template <typename F>
-  void Each(const char* field, bool required, F f) const {
-    const Value* list = Find(v_, field);
+  void Each(const char* field, bool required, F on_item) const {
+    const Value* list = Find(object_, field);
     if (!list && !required) return;
     if (!list || !list->IsArray()) Fail(field, "a list");
     int i = 0;
     for (const Value& item : list->GetArray()) {
       const std::string path = path_ + field + "[" + std::to_string(i++) + "].";
-      f(Reader(item, file_, path), item);
+      on_item(JsonReader(item, file_, path), item);
     }
   }
 
  private:
-  const Value& v_;
+  const Value& object_;
   std::string file_, path_;
 };
 
@@ -84,58 +85,58 @@
 PlatformSettings ParsePlatform(const std::string& text, const std::string& file) {
   rapidjson::Document doc;
   if (!wire::ParseObject(text, &doc)) throw Error(file + ": expected a JSON object");
-  const Reader top(doc, file, "");
+  const JsonReader top(doc, file, "");
   PlatformSettings s;
-  s.member = top.Name("member");
-  s.site = top.Name("site");
+  s.member = top.NonEmptyString("member");
+  s.site = top.NonEmptyString("site");
   s.client_listen = top.Address("client_listen");
   s.peer_listen = top.Address("back");
-  top.Each("members", true, [&](const Reader& r, const Value&) {
-    s.members.push_back({r.Name("member"), r.Address("addr")});
+  top.Each("members", true, [&](const JsonReader& r, const Value&) {
+    s.members.push_back({r.NonEmptyString("member"), r.Address("addr")});
   });
-  const Reader external = top.Object("external");
+  const JsonReader external = top.Object("external");
   s.cloud_addr = external.Address("cloud");
   s.state_addr = external.Address("state");
-  const Reader params = top.Object("params");
-  params.Each("zones", true, [&](const Reader& r, const Value& v) {
+  const JsonReader params = top.Object("params");
+  params.Each("zones", true, [&](const JsonReader& r, const Value& v) {
     if (!v.IsString()) r.Fail("", "a string");
     s.zones.emplace_back(v.GetString());
   });
-  params.Each("teams", true, [&](const Reader& r, const Value&) {
+  params.Each("teams", true, [&](const JsonReader& r, const Value&) {
     Team t;
-    t.name = r.Name("name");
+    t.name = r.NonEmptyString("name");
     t.guarantee = {wire::Thousandths(r.NumberOr("cpus", 0)),
                    wire::Thousandths(r.NumberOr("gpus", 0)), 0};
     t.limit = {wire::Thousandths(r.NumberOr("cpus_max", 0)),
                wire::Thousandths(r.NumberOr("gpus_max", 0)), 0};
     s.teams.push_back(std::move(t));
   });
-  params.Each("objectives", false, [&](const Reader& r, const Value&) {
+  params.Each("objectives", false, [&](const JsonReader& r, const Value&) {
     Objective o;
-    o.kind = r.Name("kind");
-    o.job_class = r.Name("class");
+    o.kind = r.NonEmptyString("kind");
+    o.job_class = r.NonEmptyString("class");
     o.within = Seconds(r.NumberOr("within_s", 0));
     o.share = r.NumberOr("share", 0);
     s.objectives.push_back(std::move(o));
   });
-  const Reader workers = params.Object("workers");
-  s.heartbeat_interval = workers.Span("report_s");
-  s.agent_lease = workers.Span("lease_s");
-  s.gang_start_timeout = workers.Span("gang_wait_s");
-  s.gang_failure_timeout = workers.Span("gang_peer_s");
-  s.cancel_deadline = workers.Span("cancel_s");
+  const JsonReader workers = params.Object("workers");
+  s.heartbeat_interval = workers.Duration("report_s");
+  s.agent_lease = workers.Duration("lease_s");
+  s.gang_start_timeout = workers.Duration("gang_wait_s");
+  s.gang_failure_timeout = workers.Duration("gang_peer_s");
+  s.cancel_deadline = workers.Duration("cancel_s");
   if (s.cancel_deadline <= s.agent_lease) {
     workers.Fail("cancel_s", "more than lease_s, or a cancellation can't be guaranteed");
   }
-  const Reader state = params.Object("state");
+  const JsonReader state = params.Object("state");
   s.state_rps = state.Number("rps", 1, 1e9);
   s.state_write_rps = state.Number("write_rps", 0.1, 1e9);
   s.state_value_kb = state.Number("value_kb", 0.1, 1e6);
   s.state_txn_ops = static_cast<int>(state.Number("txn_ops", 3, 1e6));
-  const Reader cloud = params.Object("cloud");
+  const JsonReader cloud = params.Object("cloud");
   s.cloud_rps = cloud.Number("rps", 0.01, 1e9);
   s.cloud_list_lag = Seconds(cloud.Number("list_lag_s", 0, 1e6));
-  const Reader quota = params.Object("quota");
+  const JsonReader quota = params.Object("quota");
   s.quota_mem_mb = quota.Number("mem_mb", 1, 1e9);
   s.quota_connections = static_cast<int>(quota.Number("max_connections", 16, 1e9));
   return s;
@@ -156,30 +157,30 @@
   if (root.IsNull()) return o;
   if (!root.IsMap()) throw Error(file + ": expected a map of settings");
   struct Field {
-    double least, most;
+    double min, max;
     std::function<void(double)> set;
   };
-  const auto span = [](Micros* m, double least, double most) {
-    return Field{least, most, [m](double v) { *m = Seconds(v); }};
+  const auto duration = [](Micros* target, double min, double max) {
+    return Field{min, max, [target](double v) { *target = Seconds(v); }};
   };
-  const auto number = [](double* d, double least, double most) {
-    return Field{least, most, [d](double v) { *d = v; }};
+  const auto number = [](double* target, double min, double max) {
+    return Field{min, max, [target](double v) { *target = v; }};
   };
   const std::map<std::string, std::map<std::string, Field>> sections = {
       {"dispatch",
        {{"bucket_width", number(&o.bucket_width, 1.01, 100)},
-        {"rebind_wait_s", span(&o.rebind_wait, 0, 3600)},
-        {"age_limit_s", span(&o.age_limit, 1, 1e6)},
+        {"rebind_wait_s", duration(&o.rebind_wait, 0, 3600)},
+        {"age_limit_s", duration(&o.age_limit, 1, 1e6)},
         {"bind_window",
          Field{1, 100000, [&o](double v) { o.bind_window = static_cast<int>(v); }}}}},
       {"failover",
-       {{"lease_s", span(&o.lease, 1, 60)},
-        {"stuck_after_s", span(&o.stuck_after, 1, 1e6)},
-        {"silent_probe_s", span(&o.silent_probe, 0.5, 600)},
-        {"silent_return_s", span(&o.silent_return, 1, 600)},
-        {"resolve_wait_s", span(&o.resolve_wait, 0.5, 600)},
-        {"resolve_soon_s", span(&o.resolve_soon, 0.2, 600)},
-        {"hold_checkin_s", span(&o.hold_checkin, 0, 2)}}},
+       {{"lease_s", duration(&o.lease, 1, 60)},
+        {"stuck_after_s", duration(&o.stuck_after, 1, 1e6)},
+        {"silent_probe_s", duration(&o.silent_probe, 0.5, 600)},
+        {"silent_return_s", duration(&o.silent_return, 1, 600)},
+        {"resolve_wait_s", duration(&o.resolve_wait, 0.5, 600)},
+        {"resolve_soon_s", duration(&o.resolve_soon, 0.2, 600)},
+        {"hold_checkin_s", duration(&o.hold_checkin, 0, 2)}}},
       {"autoscale",
        {{"idle_boots", number(&o.idle_boots, 0, 1000)},
         {"gang_idle_boots", number(&o.gang_idle_boots, 0, 1000)},
@@ -189,10 +190,10 @@
         {"arrival_doubt", number(&o.arrival_doubt, 0, 100)},
         {"ready_spread", number(&o.ready_spread, 0, 10)},
         {"ready_doubt", number(&o.ready_doubt, 0, 100)},
-        {"drain_target_s", span(&o.drain_target, 1, 1e5)},
+        {"drain_target_s", duration(&o.drain_target, 1, 1e5)},
         {"drain_share", number(&o.drain_share, 0.01, 1)},
         {"boot_patience", number(&o.boot_patience, 1.5, 100)},
-        {"refusal_memory_s", span(&o.refusal_memory, 0, 1e4)}}},
+        {"refusal_memory_s", duration(&o.refusal_memory, 0, 1e4)}}},
   };
   for (const auto& section : root) {
     const auto name = section.first.as<std::string>("");
@@ -206,14 +207,14 @@
         throw Error(file + ": " + name + "." + key + ": expected a known setting");
       }
       std::ostringstream range;
-      range << "a number from " << field->second.least << " to " << field->second.most;
+      range << "a number from " << field->second.min << " to " << field->second.max;
       double value = 0;
       try {
         value = entry.second.as<double>();
       } catch (const YAML::Exception&) {
         throw Error(file + ": " + name + "." + key + ": expected " + range.str());
       }
-      if (!(value >= field->second.least && value <= field->second.most)) {
+      if (!(value >= field->second.min && value <= field->second.max)) {
         throw Error(file + ": " + name + "." + key + ": expected " + range.str());
       }
       field->second.set(value);
--- a/src/config/scenario.cpp
+++ b/src/config/scenario.cpp
@@ -8,7 +8,7 @@
 namespace badgershore::config {
 namespace {
 
-const char* const kSmallSite =
+const char* const kSmallSiteYaml =
     R"(about: A small site for experiments; its only jobs are those that you submit
 duration_s: 86400
 settle_s: 1
@@ -26,14 +26,15 @@
 - {name: none, run_s: 1}
 )";
 
-int64_t Milli(YamlMap* m, const char* key, double otherwise) {
-  return std::llround(m->Number(key, 0, 1e6, otherwise) * 1000);
+int64_t ReadThousandths(YamlMap* m, const char* key, double default_value) {
+  return std::llround(m->Number(key, 0, 1e6, default_value) * 1000);
 }
 
-MachineOffer ReadType(YamlMap m) {
+MachineOffer ReadMachineType(YamlMap m) {
   MachineOffer t;
   t.type.name = m.Text("name");
-  t.type.size = {Milli(&m, "cpus", 1), Milli(&m, "gpus", 0), Milli(&m, "mem_gb", 1)};
+  t.type.size = {ReadThousandths(&m, "cpus", 1), ReadThousandths(&m, "gpus", 0),
+                 ReadThousandths(&m, "mem_gb", 1)};
   t.type.price = m.Number("price", 0.0001, 1e6, 1);
   t.type.spot_price = m.Number("spot_price", 0.0001, 1e6, t.type.price / 3);
   t.type.boot = m.Span("boot_s", 0.1, 3600, 30);
@@ -57,7 +58,8 @@
       static_cast<Priority>(m.OneOf("rank", {"production", "high", "normal", "idle"}, 2));
   c.least_tasks = static_cast<int>(m.Whole("least_tasks", 1, 100000, 1));
   c.most_tasks = static_cast<int>(m.Whole("most_tasks", c.least_tasks, 100000, c.least_tasks));
-  c.spec.need = {Milli(&m, "cpus", 1), Milli(&m, "gpus", 0), Milli(&m, "mem_gb", 1)};
+  c.spec.need = {ReadThousandths(&m, "cpus", 1), ReadThousandths(&m, "gpus", 0),
+                 ReadThousandths(&m, "mem_gb", 1)};
   c.spec.image_gb = m.Number("image_gb", 0, 1e4, 1);
   c.images = static_cast<int>(m.Whole("images", 1, 1000, 1));
   c.run = m.Span("run_s", 0.1, 1e5);
@@ -81,7 +83,7 @@
   return c;
 }
 
-Trouble ReadTrouble(YamlMap m, Micros end) {
+Trouble ReadFault(YamlMap m, Micros end) {
   Trouble t;
   t.kind = static_cast<Trouble::Kind>(m.OneOf(
       "kind",
@@ -106,7 +108,7 @@
   }
   if (t.kind == Trouble::Kind::kLimit) {
     t.team = m.Text("team");
-    t.cpus_max = Milli(&m, "cpus_max", 0);
+    t.cpus_max = ReadThousandths(&m, "cpus_max", 0);
   }
   if (t.kind == Trouble::Kind::kCut) {
     t.whom = m.Text("whom");
@@ -117,7 +119,7 @@
 }
 
 // Defaults for a scenario's site.
-PlatformSettings SmallSiteSettings() {
+PlatformSettings DefaultSiteSettings() {
   PlatformSettings s;
   s.heartbeat_interval = Seconds(1);
   s.agent_lease = Seconds(10);
@@ -133,56 +135,55 @@
 
 }  // namespace
 
-PlatformSettings ReadSite(YamlMap* site, const PlatformSettings& otherwise) {
-  PlatformSettings s = otherwise;
-  const auto span = [&](const char* key, double least, double most, Micros usual) {
-    return site->Span(key, least, most, usual.ToSeconds());
+PlatformSettings ReadSite(YamlMap* site, const PlatformSettings& defaults) {
+  PlatformSettings s = defaults;
+  const auto span = [&](const char* key, double min, double max, Micros default_value) {
+    return site->Span(key, min, max, default_value.ToSeconds());
   };
   s.zones = site->Texts("zones");
   if (s.zones.empty()) s.zones = {"a"};
   s.site = s.zones[0];
-  s.heartbeat_interval = span("report_s", 0.5, 60, otherwise.heartbeat_interval);
-  s.agent_lease = span("lease_s", 2, 600, otherwise.agent_lease);
-  s.gang_start_timeout = span("gang_wait_s", 1, 600, otherwise.gang_start_timeout);
-  s.gang_failure_timeout = span("gang_peer_s", 0.5, 60, otherwise.gang_failure_timeout);
-  const double least_cancel_s = s.agent_lease.ToSeconds() + 1;
-  s.cancel_deadline = span("cancel_s", least_cancel_s, 3600, otherwise.cancel_deadline);
-  s.state_rps = site->Number("state_rps", 1, 1e6, otherwise.state_rps);
-  s.state_write_rps = site->Number("state_write_rps", 1, 1e6, otherwise.state_write_rps);
-  s.state_value_kb = site->Number("state_value_kb", 1, 64, otherwise.state_value_kb);
-  s.state_txn_ops =
-      static_cast<int>(site->Whole("state_txn_ops", 3, 1000, otherwise.state_txn_ops));
-  s.cloud_rps = site->Number("cloud_rps", 0.1, 1e4, otherwise.cloud_rps);
-  s.cloud_list_lag = span("cloud_list_lag_s", 0, 120, otherwise.cloud_list_lag);
-  s.quota_mem_mb = site->Number("controller_mem_mb", 16, 1e6, otherwise.quota_mem_mb);
+  s.heartbeat_interval = span("report_s", 0.5, 60, defaults.heartbeat_interval);
+  s.agent_lease = span("lease_s", 2, 600, defaults.agent_lease);
+  s.gang_start_timeout = span("gang_wait_s", 1, 600, defaults.gang_start_timeout);
+  s.gang_failure_timeout = span("gang_peer_s", 0.5, 60, defaults.gang_failure_timeout);
+  const double min_cancel_s = s.agent_lease.ToSeconds() + 1;
+  s.cancel_deadline = span("cancel_s", min_cancel_s, 3600, defaults.cancel_deadline);
+  s.state_rps = site->Number("state_rps", 1, 1e6, defaults.state_rps);
+  s.state_write_rps = site->Number("state_write_rps", 1, 1e6, defaults.state_write_rps);
+  s.state_value_kb = site->Number("state_value_kb", 1, 64, defaults.state_value_kb);
+  s.state_txn_ops = static_cast<int>(site->Whole("state_txn_ops", 3, 1000, defaults.state_txn_ops));
+  s.cloud_rps = site->Number("cloud_rps", 0.1, 1e4, defaults.cloud_rps);
+  s.cloud_list_lag = span("cloud_list_lag_s", 0, 120, defaults.cloud_list_lag);
+  s.quota_mem_mb = site->Number("controller_mem_mb", 16, 1e6, defaults.quota_mem_mb);
   s.quota_connections = static_cast<int>(
-      site->Whole("controller_connections", 100, 100000, otherwise.quota_connections));
+      site->Whole("controller_connections", 100, 100000, defaults.quota_connections));
   return s;
 }
 
 Scenario LoadScenario(const std::string& file) { return ParseScenario(ReadFile(file), file); }
 
-Scenario SmallSite() { return ParseScenario(kSmallSite, "up.yaml"); }
+Scenario SmallSite() { return ParseScenario(kSmallSiteYaml, "up.yaml"); }
 
 Scenario ParseScenario(const std::string& text, const std::string& file) {
   YamlMap top = YamlMap::Parse(text, file);
-  Scenario n;
+  Scenario scenario;
   const size_t slash = file.rfind('/');
-  n.name = file.substr(slash == std::string::npos ? 0 : slash + 1);
-  n.name = n.name.substr(0, n.name.rfind('.'));
-  n.about = top.Text("about");
-  n.duration = top.Span("duration_s", 1, 86400);
-  n.settle = top.Span("settle_s", 1, 86400, 900);
-  PlatformSettings& s = n.site;
+  scenario.name = file.substr(slash == std::string::npos ? 0 : slash + 1);
+  scenario.name = scenario.name.substr(0, scenario.name.rfind('.'));
+  scenario.about = top.Text("about");
+  scenario.duration = top.Span("duration_s", 1, 86400);
+  scenario.settle = top.Span("settle_s", 1, 86400, 900);
+  PlatformSettings& s = scenario.site;
   YamlMap site = top.Map("site");
-  s = ReadSite(&site, SmallSiteSettings());
-  n.boot_spread = site.Number("boot_spread", 0, 0.5, 0.4);
+  s = ReadSite(&site, DefaultSiteSettings());
+  scenario.boot_spread = site.Number("boot_spread", 0, 0.5, 0.4);
   site.NoOthers();
   top.Each("teams", [&](YamlMap m) {
     Team t;
     t.name = m.Text("name");
-    t.guarantee.cpu = Milli(&m, "cpus", 0);
-    t.limit.cpu = Milli(&m, "cpus_max", 0);
+    t.guarantee.cpu = ReadThousandths(&m, "cpus", 0);
+    t.limit.cpu = ReadThousandths(&m, "cpus_max", 0);
     m.NoOthers();
     s.teams.push_back(t);
   });
@@ -196,33 +197,35 @@
     m.NoOthers();
     s.objectives.push_back(o);
   });
-  top.Each("machine_types", [&](YamlMap m) { n.types.push_back(ReadType(std::move(m))); });
-  if (n.types.empty()) top.Fail("machine_types", "at least one type");
-  for (MachineOffer& t : n.types) {
+  top.Each("machine_types",
+           [&](YamlMap m) { scenario.types.push_back(ReadMachineType(std::move(m))); });
+  if (scenario.types.empty()) top.Fail("machine_types", "at least one type");
+  for (MachineOffer& t : scenario.types) {
     if (t.type.zones.empty()) t.type.zones = s.zones;
   }
-  n.cells = top.Texts("cells");
-  top.Each("classes", [&](YamlMap m) { n.classes.push_back(ReadClass(std::move(m), s)); });
-  if (n.classes.empty()) top.Fail("classes", "at least one class");
+  scenario.cells = top.Texts("cells");
+  top.Each("classes", [&](YamlMap m) { scenario.classes.push_back(ReadClass(std::move(m), s)); });
+  if (scenario.classes.empty()) top.Fail("classes", "at least one class");
   top.Each("withdrawals", [&](YamlMap m) {
-    n.withdrawals.push_back({m.Text("job"), m.Span("at_s", 0, 1e6)});
+    scenario.withdrawals.push_back({m.Text("job"), m.Span("at_s", 0, 1e6)});
     m.NoOthers();
   });
-  n.either = top.Texts("either");
+  scenario.either = top.Texts("either");
   top.Each("troubles", [&](YamlMap m) {
-    n.troubles.push_back(ReadTrouble(std::move(m), n.duration + n.settle));
+    scenario.troubles.push_back(ReadFault(std::move(m), scenario.duration + scenario.settle));
   });
-  const auto known = [&](const std::string& cell) {
-    return cell.empty() || std::find(n.cells.begin(), n.cells.end(), cell) != n.cells.end();
+  const auto known_cell = [&](const std::string& cell) {
+    return cell.empty() ||
+           std::find(scenario.cells.begin(), scenario.cells.end(), cell) != scenario.cells.end();
   };
-  for (const JobClass& c : n.classes) {
-    if (!known(c.cell)) top.Fail("classes", "`cell` to be one of `cells`, not " + c.cell);
+  for (const JobClass& c : scenario.classes) {
+    if (!known_cell(c.cell)) top.Fail("classes", "`cell` to be one of `cells`, not " + c.cell);
   }
-  for (const Trouble& t : n.troubles) {
-    if (!known(t.cell)) top.Fail("troubles", "`cell` to be one of `cells`, not " + t.cell);
+  for (const Trouble& t : scenario.troubles) {
+    if (!known_cell(t.cell)) top.Fail("troubles", "`cell` to be one of `cells`, not " + t.cell);
   }
   top.NoOthers();
-  return n;
+  return scenario;
 }
 
 }  // namespace badgershore::config
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -94,9 +94,9 @@
   std::vector<Trouble> troubles;
 };
 
-// Reads a site's section; absent keys take the values of `otherwise`. The caller must check for
+// Reads a site's section; absent keys take the values of `defaults`. The caller must check for
 // unknown keys.
-PlatformSettings ReadSite(YamlMap* site, const PlatformSettings& otherwise);
+PlatformSettings ReadSite(YamlMap* site, const PlatformSettings& defaults);
 
 // Throws a config::Error that names the file, the line and the expected value.
 Scenario LoadScenario(const std::string& file);
