--- a/bench/store_bench.cpp
+++ b/bench/store_bench.cpp
@@ -19,9 +19,9 @@
 namespace {
 
 namespace fs = std::filesystem;
-constexpr size_t kValue = 200;
+constexpr size_t kValueBytes = 200;
 
-std::string Folder() {
+std::string MakeTemporaryDirectory() {
   const char* base = std::getenv("BENCH_DIR");
   std::string name = std::string(base ? base : "/var/tmp") + "/badgershore-bench-XXXXXX";
   return ::mkdtemp(name.data());
@@ -35,24 +35,24 @@
 
 // One batch with a commit of one put by each writer.
 void Commits(benchmark::State& state) {
-  const std::string dir = Folder();
+  const std::string dir = MakeTemporaryDirectory();
   {
     Engine engine(dir + "/s", Engine::OpenMode::kReadWrite);
     uint64_t n = 0;
     for (auto _ : state) {
       state.PauseTiming();
-      Batch whole;
-      whole.revision = n;
+      Batch batch;
+      batch.revision = n;
       for (int64_t w = 0; w < state.range(0); ++w) {
         ++n;
         const std::string key = Key(n % 100000);
-        whole.revision = n;
-        whole.items[key] = VersionedValue{"\"" + std::string(kValue, 'x') + "\"", n, 0};
-        whole.change_log.push_back({n, key, whole.items[key]->value});
+        batch.revision = n;
+        batch.items[key] = VersionedValue{"\"" + std::string(kValueBytes, 'x') + "\"", n, 0};
+        batch.change_log.push_back({n, key, batch.items[key]->value});
       }
-      whole.compacted_revision = n > kMinChangeLogEntries ? n - kMinChangeLogEntries : 0;
+      batch.compacted_revision = n > kMinChangeLogEntries ? n - kMinChangeLogEntries : 0;
       state.ResumeTiming();
-      if (engine.Write(whole) != WriteOutcome::kDurable) state.SkipWithError("not written");
+      if (engine.Write(batch) != WriteOutcome::kDurable) state.SkipWithError("not written");
     }
     state.SetItemsProcessed(static_cast<int64_t>(n));
   }
@@ -62,9 +62,10 @@
 
 // The same bytes: key, value, change row and about 120 bytes of row headers per commit.
 void BareWrites(benchmark::State& state) {
-  const std::string dir = Folder();
+  const std::string dir = MakeTemporaryDirectory();
   const int fd = ::open((dir + "/f").c_str(), O_CREAT | O_WRONLY | O_APPEND, 0600);
-  const std::string bytes(static_cast<size_t>(state.range(0)) * (2 * (kValue + 19) + 120), 'x');
+  const std::string bytes(static_cast<size_t>(state.range(0)) * (2 * (kValueBytes + 19) + 120),
+                          'x');
   int64_t n = 0;
   for (auto _ : state) {
     if (::write(fd, bytes.data(), bytes.size()) < 0 || ::fdatasync(fd) != 0) {
@@ -79,13 +80,13 @@
 BENCHMARK(BareWrites)->Arg(1)->Arg(16)->Arg(256)->UseRealTime()->Unit(benchmark::kMicrosecond);
 
 void CommitsInLmdb(benchmark::State& state) {
-  const std::string dir = Folder();
+  const std::string dir = MakeTemporaryDirectory();
   MDB_env* env = nullptr;
   mdb_env_create(&env);
   mdb_env_set_mapsize(env, 4ULL << 30);
   if (mdb_env_open(env, dir.c_str(), 0, 0600) != 0) state.SkipWithError("not opened");
   uint64_t n = 0;
-  const std::string value(2 * kValue, 'x');
+  const std::string value(2 * kValueBytes, 'x');
   for (auto _ : state) {
     MDB_txn* txn = nullptr;
     MDB_dbi dbi = 0;
@@ -105,7 +106,7 @@
 BENCHMARK(CommitsInLmdb)->Arg(1)->Arg(16)->Arg(256)->UseRealTime()->Unit(benchmark::kMicrosecond);
 
 void CommitsInSqlite(benchmark::State& state) {
-  const std::string dir = Folder();
+  const std::string dir = MakeTemporaryDirectory();
   sqlite3* db = nullptr;
   sqlite3_open((dir + "/s.db").c_str(), &db);
   for (const char* sql : {"PRAGMA journal_mode=WAL", "PRAGMA synchronous=FULL",
@@ -114,7 +115,7 @@
   }
   sqlite3_stmt* put = nullptr;
   sqlite3_prepare_v2(db, "INSERT OR REPLACE INTO t VALUES(?,?)", -1, &put, nullptr);
-  const std::string value(2 * kValue, 'x');
+  const std::string value(2 * kValueBytes, 'x');
   uint64_t n = 0;
   for (auto _ : state) {
     sqlite3_exec(db, "BEGIN", nullptr, nullptr, nullptr);
@@ -136,21 +137,21 @@
 }
 BENCHMARK(CommitsInSqlite)->Arg(1)->Arg(16)->Arg(256)->UseRealTime()->Unit(benchmark::kMicrosecond);
 
-StateImage Filled(uint64_t keys) {
+StateImage FilledImage(uint64_t keys) {
   StateImage image;
   for (uint64_t n = 1; n <= keys; ++n) {
-    image.items[Key(n)] = VersionedValue{"\"" + std::string(kValue, 'x') + "\"", n, 0};
+    image.items[Key(n)] = VersionedValue{"\"" + std::string(kValueBytes, 'x') + "\"", n, 0};
   }
   image.revision = image.compacted_revision = keys;
   return image;
 }
 
 void Ranges(benchmark::State& state) {
-  StateMachine machine({}, Filled(100000), Seconds(1));
-  RequestId token = 0;
+  StateMachine machine({}, FilledImage(100000), Seconds(1));
+  RequestId request_id = 0;
   std::string after;
   for (auto _ : state) {
-    machine.Submit(Seconds(1), ++token, ListRequest{"job/", after, 500});
+    machine.Submit(Seconds(1), ++request_id, ListRequest{"job/", after, 500});
     const Response a = machine.TakeEffects().responses.at(0).second;
     after = a.has_more ? a.entries.back().first : "";
   }
@@ -161,19 +162,20 @@
 // One commit while the given number of watches is open, a tenth of which match its key.
 void CommitsUnderWatches(benchmark::State& state) {
   StateMachine machine({}, {}, Seconds(1));
-  RequestId token = 0;
+  RequestId request_id = 0;
   uint64_t n = 0;
   for (auto _ : state) {
     state.PauseTiming();
     while (machine.watches() < static_cast<size_t>(state.range(0))) {
-      const std::string prefix = ++token % 10 == 0 ? "job/" : "other" + std::to_string(token) + "/";
-      machine.Submit(Seconds(1), token,
+      const std::string prefix =
+          ++request_id % 10 == 0 ? "job/" : "other" + std::to_string(request_id) + "/";
+      machine.Submit(Seconds(1), request_id,
                      WatchRequest{prefix, machine.state().revision, Seconds(60)});
     }
     state.ResumeTiming();
     CompareAndSwapRequest r;
     r.mutations.push_back({Key(++n % 1000), "1", 0});
-    machine.Submit(Seconds(1), ++token, std::move(r));
+    machine.Submit(Seconds(1), ++request_id, std::move(r));
     machine.OnWriteCompleted(Seconds(1), machine.TakeEffects().write->id, WriteOutcome::kDurable);
     benchmark::DoNotOptimize(machine.TakeEffects());
   }
@@ -188,10 +190,10 @@
 }
 
 void Recovery(benchmark::State& state) {
-  const std::string dir = Folder();
+  const std::string dir = MakeTemporaryDirectory();
   {
     Engine engine(dir + "/s", Engine::OpenMode::kReadWrite);
-    engine.Initialize(Filled(static_cast<uint64_t>(state.range(0))));
+    engine.Initialize(FilledImage(static_cast<uint64_t>(state.range(0))));
   }
   ::malloc_trim(0);
   const size_t before = ResidentMb();
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -19,7 +19,7 @@
   "cloud":{"rps":8.0,"list_lag_s":8.0},
   "quota":{"cores":0.1,"mem_mb":56.0,"max_connections":700}}})";
 
-std::string Complaint(std::string text, const std::string& from, const std::string& to) {
+std::string PlatformErrorOf(std::string text, const std::string& from, const std::string& to) {
   const size_t at = text.find(from);
   EXPECT_NE(at, std::string::npos) << from;
   text.replace(at, from.size(), to);
@@ -40,28 +40,28 @@
   EXPECT_EQ(s.objectives[0].within, Seconds(250));
 }
 
-TEST(Platform, NamesFileFieldAndExpectation) {
-  EXPECT_EQ(Complaint(kGood, "\"lease_s\":18.0", "\"lease_s\":\"x\""),
+TEST(Platform, ErrorsNameFileFieldAndExpectedValue) {
+  EXPECT_EQ(PlatformErrorOf(kGood, "\"lease_s\":18.0", "\"lease_s\":\"x\""),
             "f.json: params.workers.lease_s: expected a number from 0.001 to 1e+06");
-  EXPECT_EQ(Complaint(kGood, "127.0.0.1:5", "nowhere"),
+  EXPECT_EQ(PlatformErrorOf(kGood, "127.0.0.1:5", "nowhere"),
             "f.json: external.state: expected ADDRESS:PORT");
-  EXPECT_EQ(Complaint(kGood, "\"member\":\"m-1\",", ""),
+  EXPECT_EQ(PlatformErrorOf(kGood, "\"member\":\"m-1\",", ""),
             "f.json: members[0].member: expected a non-empty string");
-  EXPECT_EQ(Complaint(kGood, "\"cancel_s\":43.0", "\"cancel_s\":10.0"),
+  EXPECT_EQ(PlatformErrorOf(kGood, "\"cancel_s\":43.0", "\"cancel_s\":10.0"),
             "f.json: params.workers.cancel_s: expected more than lease_s, or a cancellation can't "
             "be guaranteed");
-  EXPECT_EQ(Complaint(kGood, "{\"member\":\"m-0\"", "[1"), "f.json: expected a JSON object");
+  EXPECT_EQ(PlatformErrorOf(kGood, "{\"member\":\"m-0\"", "[1"), "f.json: expected a JSON object");
 }
 
-TEST(OperatorOptions, DefaultsAndOwnValues) {
+TEST(OperatorOptions, ReadsDefaultsAndOverrides) {
   EXPECT_EQ(ParseOptions("", "o.yaml").bucket_width, 2.0);
   const Options o = ParseOptions("dispatch:\n  bucket_width: 1.5\n  rebind_wait_s: 4\n", "o.yaml");
   EXPECT_EQ(o.bucket_width, 1.5);
   EXPECT_EQ(o.rebind_wait, Seconds(4));
 }
 
-TEST(OperatorOptions, RefuseUnknownKeysAndBadValues) {
-  const auto complaint = [](const std::string& text) -> std::string {
+TEST(OperatorOptions, RejectsUnknownKeysAndBadValues) {
+  const auto error_of = [](const std::string& text) -> std::string {
     try {
       ParseOptions(text, "o.yaml");
     } catch (const Error& e) {
@@ -69,19 +69,19 @@
     }
     return "accepted";
   };
-  EXPECT_EQ(complaint("dispatch:\n  width: 2\n"),
+  EXPECT_EQ(error_of("dispatch:\n  width: 2\n"),
             "o.yaml: dispatch.width: expected a known setting");
-  EXPECT_EQ(complaint("nothing: {}\n"), "o.yaml: nothing: expected a known section");
-  EXPECT_EQ(complaint("dispatch:\n  bucket_width: wide\n"),
+  EXPECT_EQ(error_of("nothing: {}\n"), "o.yaml: nothing: expected a known section");
+  EXPECT_EQ(error_of("dispatch:\n  bucket_width: wide\n"),
             "o.yaml: dispatch.bucket_width: expected a number from 1.01 to 100");
-  EXPECT_EQ(complaint("failover:\n  lease_s: 0\n"),
+  EXPECT_EQ(error_of("failover:\n  lease_s: 0\n"),
             "o.yaml: failover.lease_s: expected a number from 1 to 60");
-  EXPECT_EQ(complaint("dispatch: [1\n").substr(0, 12), "o.yaml: line");
+  EXPECT_EQ(error_of("dispatch: [1\n").substr(0, 12), "o.yaml: line");
 }
 
 // Guards against an error without a line number, and a missing key that terminated the program.
-TEST(Yaml, NamesFileLineAndWhatWasExpected) {
-  const auto complaint = [](const std::string& text) -> std::string {
+TEST(Yaml, ErrorsNameFileLineAndExpectedValue) {
+  const auto error_of = [](const std::string& text) -> std::string {
     try {
       YamlMap top = YamlMap::Parse(text, "f.yaml");
       YamlMap limits = top.Map("limits");
@@ -95,17 +95,17 @@
       return e.what();
     }
   };
-  EXPECT_EQ(complaint(""), "");
-  EXPECT_EQ(complaint("limits:\n  rps: 3\n"), "");
-  EXPECT_EQ(complaint("limits:\n  rps: 3\n  wps: 4\n"),
+  EXPECT_EQ(error_of(""), "");
+  EXPECT_EQ(error_of("limits:\n  rps: 3\n"), "");
+  EXPECT_EQ(error_of("limits:\n  rps: 3\n  wps: 4\n"),
             "f.yaml:3: limits.wps: expected one of mode, rps");
-  EXPECT_EQ(complaint("limits:\n  rps: 30\n"),
+  EXPECT_EQ(error_of("limits:\n  rps: 30\n"),
             "f.yaml:2: limits.rps: expected a number from 0 to 10");
-  EXPECT_EQ(complaint("limits:\n  mode: slow\n"), "f.yaml:2: limits.mode: expected fast or safe");
-  EXPECT_EQ(complaint("list:\n- at_s: 1\n- {}\n"), "f.yaml:3: list[1].at_s: expected a value");
-  EXPECT_EQ(complaint("list: 3\n"), "f.yaml:1: list: expected a list");
-  EXPECT_EQ(complaint("- 3\n"), "f.yaml:1: expected a map");
-  EXPECT_EQ(complaint("limits: [\n").substr(0, 7), "f.yaml:");
+  EXPECT_EQ(error_of("limits:\n  mode: slow\n"), "f.yaml:2: limits.mode: expected fast or safe");
+  EXPECT_EQ(error_of("list:\n- at_s: 1\n- {}\n"), "f.yaml:3: list[1].at_s: expected a value");
+  EXPECT_EQ(error_of("list: 3\n"), "f.yaml:1: list: expected a list");
+  EXPECT_EQ(error_of("- 3\n"), "f.yaml:1: expected a map");
+  EXPECT_EQ(error_of("limits: [\n").substr(0, 7), "f.yaml:");
 }
 
 const char kCells[] =
@@ -115,7 +115,7 @@
     "- {name: old, heir: north}\n"
     "- {name: new, backs: ['10.0.2.1:1'], founding: false}\n";
 
-TEST(Cells, AreReadAndThisOneIsFoundByItsAddress) {
+TEST(Cells, ReadsCellsAndFindsOwnCellByAddress) {
   const CellsPlan plan = config::ParseCells(kCells, "cells.yaml", "10.0.1.1:1");
   EXPECT_EQ(plan.self, "south");
   ASSERT_EQ(plan.cells.size(), 4u);
@@ -124,8 +124,8 @@
   EXPECT_FALSE(plan.cells[3].initial_member);
 }
 
-TEST(Cells, ComplaintsNameFileLineAndWhatWasExpected) {
-  const auto says = [](const std::string& text) -> std::string {
+TEST(Cells, ErrorsNameFileLineAndExpectedValue) {
+  const auto error_of = [](const std::string& text) -> std::string {
     try {
       config::ParseCells(text, "cells.yaml", "10.0.0.1:1");
     } catch (const config::Error& e) {
@@ -133,7 +133,7 @@
     }
     return "";
   };
-  EXPECT_EQ(says(kCells), "");
+  EXPECT_EQ(error_of(kCells), "");
   for (const auto& [text, expected] : std::map<std::string, std::string>{
            {"cells: []\n", "at least one cell"},
            {"cells:\n- {name: a, backs: ['1.1.1.1:1']}\n", "a cell with this controller's address"},
@@ -141,30 +141,30 @@
             "a unique cell name"},
            {"cells:\n- {name: a, backs: ['10.0.0.1:1']}\n- {name: b, heir: c}\n", "heir of b"},
            {"cells:\n- {name: a, backs: ['10.0.0.1:1'], floor: 1}\n", "floor"}}) {
-    EXPECT_NE(says(text).find(expected), std::string::npos) << text << says(text);
-    EXPECT_EQ(says(text).rfind("cells.yaml", 0), 0u) << says(text);
+    EXPECT_NE(error_of(text).find(expected), std::string::npos) << text << error_of(text);
+    EXPECT_EQ(error_of(text).rfind("cells.yaml", 0), 0u) << error_of(text);
   }
 }
 
 // Guards against a fault that matches no host: the scenario would pass without any fault.
-TEST(ScenarioFile, TroublesNameThoseThatTheyCanMeet) {
-  const auto says = [](const std::string& trouble) -> std::string {
+TEST(ScenarioFile, RejectsFaultsThatMatchNoHost) {
+  const auto error_of = [](const std::string& fault) -> std::string {
     try {
       config::ParseScenario(
           "about: a\nduration_s: 9\nteams: [{name: t}]\nmachine_types: [{name: m}]\n"
           "classes: [{name: c, run_s: 1}]\ntroubles:\n- {" +
-              trouble + "}\n",
+              fault + "}\n",
           "n.yaml");
     } catch (const config::Error& e) {
       return e.what();
     }
     return "";
   };
-  EXPECT_EQ(says("kind: cut, who: followers, whom: machines, at_s: 1, for_s: 1"), "");
-  EXPECT_EQ(says("kind: kill, who: followers, at_s: 1"),
+  EXPECT_EQ(error_of("kind: cut, who: followers, whom: machines, at_s: 1, for_s: 1"), "");
+  EXPECT_EQ(error_of("kind: kill, who: followers, at_s: 1"),
             "n.yaml:7: troubles[0].who: expected leader, all or node-0 to node-2; followers only "
             "for a cut");
-  EXPECT_NE(says("kind: late_reportz, at_s: 1").find("n.yaml:7: troubles[0].kind: expected"),
+  EXPECT_NE(error_of("kind: late_reportz, at_s: 1").find("n.yaml:7: troubles[0].kind: expected"),
             std::string::npos);
 }
 
--- a/tests/failing_disk.cpp
+++ b/tests/failing_disk.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 template <typename Function>
-Function Next(const char* name) {
+Function NextSymbol(const char* name) {
   return reinterpret_cast<Function>(dlsym(RTLD_NEXT, name));
 }
 
@@ -25,16 +25,16 @@
 int CurrentFault(const char* call) {
   static const char* control = getenv("FAILING_DISK_CONTROL");
   if (!control) return 0;
-  static const Open open_file = Next<Open>("open");
+  static const Open open_file = NextSymbol<Open>("open");
   const int file = open_file(control, O_RDONLY | O_CLOEXEC);
   if (file < 0) return 0;
   char text[64] = "";
   const ssize_t size = read(file, text, sizeof(text) - 1);
   close(file);
   int error = 0;
-  char only[32] = "";
-  if (size <= 0 || sscanf(text, "%d %31s", &error, only) < 1) return 0;
-  return only[0] == '\0' || strcmp(only, call) == 0 ? error : 0;
+  char call_filter[32] = "";
+  if (size <= 0 || sscanf(text, "%d %31s", &error, call_filter) < 1) return 0;
+  return call_filter[0] == '\0' || strcmp(call_filter, call) == 0 ? error : 0;
 }
 
 bool IsBelow(const char* path) {
@@ -52,7 +52,7 @@
 }
 
 template <typename Target>
-bool Fails(const char* call, Target target) {
+bool ShouldFail(const char* call, Target target) {
   const int saved = errno;
   const int fault = IsBelow(target) ? CurrentFault(call) : 0;
   errno = fault != 0 ? fault : saved;
@@ -64,8 +64,8 @@
 extern "C" {
 
 ssize_t write(int file, const void* data, size_t size) {
-  static const auto next = Next<ssize_t (*)(int, const void*, size_t)>("write");
-  if (!Fails("write", file)) return next(file, data, size);
+  static const auto next = NextSymbol<ssize_t (*)(int, const void*, size_t)>("write");
+  if (!ShouldFail("write", file)) return next(file, data, size);
   const int fault = errno;
   if (size > 1) (void)!next(file, data, size / 2);
   errno = fault;
@@ -73,8 +73,8 @@
 }
 
 ssize_t pwrite(int file, const void* data, size_t size, off_t at) {
-  static const auto next = Next<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
-  if (!Fails("pwrite", file)) return next(file, data, size, at);
+  static const auto next = NextSymbol<ssize_t (*)(int, const void*, size_t, off_t)>("pwrite");
+  if (!ShouldFail("pwrite", file)) return next(file, data, size, at);
   const int fault = errno;
   if (size > 1) (void)!next(file, data, size / 2, at);
   errno = fault;
@@ -82,32 +82,32 @@
 }
 
 int fsync(int file) {
-  static const auto next = Next<int (*)(int)>("fsync");
-  return Fails("fsync", file) ? -1 : next(file);
+  static const auto next = NextSymbol<int (*)(int)>("fsync");
+  return ShouldFail("fsync", file) ? -1 : next(file);
 }
 
 int fdatasync(int file) {
-  static const auto next = Next<int (*)(int)>("fdatasync");
-  return Fails("fdatasync", file) ? -1 : next(file);
+  static const auto next = NextSymbol<int (*)(int)>("fdatasync");
+  return ShouldFail("fdatasync", file) ? -1 : next(file);
 }
 
 int ftruncate(int file, off_t size) {
-  static const auto next = Next<int (*)(int, off_t)>("ftruncate");
-  return Fails("ftruncate", file) ? -1 : next(file, size);
+  static const auto next = NextSymbol<int (*)(int, off_t)>("ftruncate");
+  return ShouldFail("ftruncate", file) ? -1 : next(file, size);
 }
 
 int rename(const char* from, const char* to) {
-  static const auto next = Next<int (*)(const char*, const char*)>("rename");
-  return Fails("rename", to) ? -1 : next(from, to);
+  static const auto next = NextSymbol<int (*)(const char*, const char*)>("rename");
+  return ShouldFail("rename", to) ? -1 : next(from, to);
 }
 
 int open(const char* path, int flags, ...) {
-  static const Open next = Next<Open>("open");
+  static const Open next = NextSymbol<Open>("open");
   va_list rest;
   va_start(rest, flags);
   const mode_t mode = (flags & O_CREAT) != 0 ? va_arg(rest, mode_t) : 0;
   va_end(rest);
-  return (flags & O_CREAT) != 0 && Fails("open", path) ? -1 : next(path, flags, mode);
+  return (flags & O_CREAT) != 0 && ShouldFail("open", path) ? -1 : next(path, flags, mode);
 }
 
 }  // extern "C"
--- a/tests/fault_file_system.h
+++ b/tests/fault_file_system.h
@@ -39,8 +39,8 @@
   void Fail(DiskFault fault, int first, int count, Condition condition = nullptr) {
     const std::lock_guard<std::mutex> lock(mutex_);
     fault_ = fault;
-    passing_ = first - 1;
-    failing_ = count;
+    operations_to_pass_ = first - 1;
+    operations_to_fail_ = count;
     if (count > 0) failures_ = 0;
     condition_ = std::move(condition);
   }
@@ -52,16 +52,16 @@
     return failures_;
   }
 
-  rocksdb::IOStatus Step(DiskOperation operation, const std::string& path) {
+  rocksdb::IOStatus NextStatus(DiskOperation operation, const std::string& path) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (failing_ == 0 || (condition_ && !condition_(operation, path))) {
+    if (operations_to_fail_ == 0 || (condition_ && !condition_(operation, path))) {
       return rocksdb::IOStatus::OK();
     }
-    if (passing_ > 0) {
-      --passing_;
+    if (operations_to_pass_ > 0) {
+      --operations_to_pass_;
       return rocksdb::IOStatus::OK();
     }
-    --failing_;
+    --operations_to_fail_;
     ++failures_;
     if (fault_ == DiskFault::kNoSpace) return rocksdb::IOStatus::NoSpace("no space left on device");
     rocksdb::IOStatus status = rocksdb::IOStatus::IOError("input/output error");
@@ -72,7 +72,7 @@
  private:
   mutable std::mutex mutex_;
   DiskFault fault_ = DiskFault::kIoError;
-  int passing_ = 0, failing_ = 0, failures_ = 0;
+  int operations_to_pass_ = 0, operations_to_fail_ = 0, failures_ = 0;
   Condition condition_;
 };
 
@@ -84,7 +84,7 @@
   using FSWritableFileOwnerWrapper::Append;
   rocksdb::IOStatus Append(const rocksdb::Slice& data, const rocksdb::IOOptions& options,
                            rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kAppend, path_);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kAppend, path_);
     if (status.ok()) return FSWritableFileOwnerWrapper::Append(data, options, debug);
     // Writes a part of the data, as a real disk may.
     const rocksdb::Slice part(data.data(), data.size() / 2);
@@ -93,7 +93,7 @@
   }
   rocksdb::IOStatus Sync(const rocksdb::IOOptions& options,
                          rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kSync, path_);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kSync, path_);
     return status.ok() ? FSWritableFileOwnerWrapper::Sync(options, debug) : status;
   }
   rocksdb::IOStatus Fsync(const rocksdb::IOOptions& options,
@@ -102,7 +102,7 @@
   }
   rocksdb::IOStatus Close(const rocksdb::IOOptions& options,
                           rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kClose, path_);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kClose, path_);
     rocksdb::IOStatus closed = FSWritableFileOwnerWrapper::Close(options, debug);
     return status.ok() ? closed : status;
   }
@@ -120,14 +120,15 @@
 
   rocksdb::IOStatus Fsync(const rocksdb::IOOptions& options,
                           rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kSyncDirectory, path_);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kSyncDirectory, path_);
     return status.ok() ? FSDirectoryWrapper::Fsync(options, debug) : status;
   }
   rocksdb::IOStatus FsyncWithDirOptions(const rocksdb::IOOptions& options,
                                         rocksdb::IODebugContext* debug,
-                                        const rocksdb::DirFsyncOptions& how) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kSyncDirectory, path_);
-    return status.ok() ? FSDirectoryWrapper::FsyncWithDirOptions(options, debug, how) : status;
+                                        const rocksdb::DirFsyncOptions& dir_options) override {
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kSyncDirectory, path_);
+    return status.ok() ? FSDirectoryWrapper::FsyncWithDirOptions(options, debug, dir_options)
+                       : status;
   }
 
  private:
@@ -144,7 +145,7 @@
   rocksdb::IOStatus NewWritableFile(const std::string& path, const rocksdb::FileOptions& options,
                                     std::unique_ptr<rocksdb::FSWritableFile>* out,
                                     rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kCreate, path);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kCreate, path);
     if (!status.ok()) return status;
     std::unique_ptr<rocksdb::FSWritableFile> file;
     status = target()->NewWritableFile(path, options, &file, debug);
@@ -162,12 +163,12 @@
   rocksdb::IOStatus RenameFile(const std::string& from, const std::string& to,
                                const rocksdb::IOOptions& options,
                                rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kRename, to);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kRename, to);
     return status.ok() ? target()->RenameFile(from, to, options, debug) : status;
   }
   rocksdb::IOStatus DeleteFile(const std::string& path, const rocksdb::IOOptions& options,
                                rocksdb::IODebugContext* debug) override {
-    rocksdb::IOStatus status = plan_->Step(DiskOperation::kDelete, path);
+    rocksdb::IOStatus status = plan_->NextStatus(DiskOperation::kDelete, path);
     return status.ok() ? target()->DeleteFile(path, options, debug) : status;
   }
 
--- a/tests/replication_program_test.cpp
+++ b/tests/replication_program_test.cpp
@@ -21,9 +21,9 @@
 
 namespace fs = std::filesystem;
 
-class Replicas : public testing::Test {
+class ReplicatedService : public testing::Test {
  protected:
-  Replicas() {
+  ReplicatedService() {
     char name[] = "/tmp/badgershore-replicas-XXXXXX";
     root_ = mkdtemp(name);
     std::ofstream file(set_file());
@@ -34,7 +34,7 @@
            << site::FreeAddress() << "\"}\n";
     }
   }
-  ~Replicas() override {
+  ~ReplicatedService() override {
     for (size_t i = 0; i < 3; ++i) Kill(i);
     fs::remove_all(root_);
   }
@@ -55,13 +55,15 @@
     execv(raw[0], raw.data());
     _exit(127);
   }
-  int ExitOf(std::vector<std::string> argv) {
+  int RunAndGetExitCode(std::vector<std::string> argv) {
     int status = 0;
     waitpid(Spawn(std::move(argv)), &status, 0);
     return WEXITSTATUS(status);
   }
   void Init(size_t i) {
-    ASSERT_EQ(ExitOf({BADGERSHORE_STATE, "init", "--data", Data(i), "--replicas", set_file()}), 0);
+    ASSERT_EQ(
+        RunAndGetExitCode({BADGERSHORE_STATE, "init", "--data", Data(i), "--replicas", set_file()}),
+        0);
   }
   void Start(size_t i) {
     pids_[i] = Spawn({BADGERSHORE_STATE, "serve", "--data", Data(i), "--replicas", set_file(),
@@ -80,51 +82,53 @@
     pids_[i] = 0;
   }
 
-  http::ClientAnswer Ask(size_t i, const std::string& method, const std::string& target,
-                         const std::string& body = "") {
+  http::ClientAnswer SendRequest(size_t i, const std::string& method, const std::string& target,
+                                 const std::string& body = "") {
     io::Loop loop;
-    http::ClientAnswer answer;
-    io::Spawn(AskOnce(&loop, clients_[i], method, target, body, &answer));
+    http::ClientAnswer response;
+    io::Spawn(RequestOnce(&loop, clients_[i], method, target, body, &response));
     loop.Run();
-    return answer;
+    return response;
   }
-  static io::Task<void> AskOnce(io::Loop* loop, std::string address, std::string method,
-                                std::string target, std::string body, http::ClientAnswer* answer) {
+  static io::Task<void> RequestOnce(io::Loop* loop, std::string address, std::string method,
+                                    std::string target, std::string body,
+                                    http::ClientAnswer* response) {
     http::Client client(loop, address, 0, http::Limits{});
-    *answer = co_await client.Request(method, target, body, Seconds(3));
+    *response = co_await client.Request(method, target, body, Seconds(3));
     loop->Stop();
   }
   // Retries until the status is 200, for at most 15 s.
-  bool Eventually(size_t i, const std::string& method, const std::string& target,
-                  const std::string& body = "") {
+  bool RequestUntilOk(size_t i, const std::string& method, const std::string& target,
+                      const std::string& body = "") {
     for (int tries = 0; tries < 150; ++tries) {
-      const http::ClientAnswer answer = Ask(i, method, target, body);
-      if (answer.answered() && answer.status == 200) return true;
+      const http::ClientAnswer response = SendRequest(i, method, target, body);
+      if (response.answered() && response.status == 200) return true;
       usleep(100000);
     }
     return false;
   }
   bool Put(size_t i, const std::string& key, const std::string& value) {
-    return Eventually(i, "POST", "/commit",
-                      R"({"guards":[],"then":[{"put":")" + key + R"(","value":)" + value + "}]}");
+    return RequestUntilOk(
+        i, "POST", "/commit",
+        R"({"guards":[],"then":[{"put":")" + key + R"(","value":)" + value + "}]}");
   }
   std::string Value(size_t i, const std::string& key) {
-    if (!Eventually(i, "GET", "/store/" + key)) return "";
+    if (!RequestUntilOk(i, "GET", "/store/" + key)) return "";
     rapidjson::Document document;
-    const std::string body = Ask(i, "GET", "/store/" + key).body;
+    const std::string body = SendRequest(i, "GET", "/store/" + key).body;
     if (!wire::ParseObject(body, &document)) return "";
     return std::to_string(static_cast<int>(wire::Number(document, "value")));
   }
   bool IsMember(size_t i) {
     rapidjson::Document document;
-    const std::string body = Ask(i, "GET", "/replica/status").body;
+    const std::string body = SendRequest(i, "GET", "/replica/status").body;
     return wire::ParseObject(body, &document) && wire::Flag(document, "member");
   }
   size_t Leader() {
     for (int tries = 0; tries < 150; ++tries) {
       for (size_t i = 0; i < 3; ++i) {
         rapidjson::Document document;
-        const std::string body = pids_[i] > 0 ? Ask(i, "GET", "/replica/status").body : "";
+        const std::string body = pids_[i] > 0 ? SendRequest(i, "GET", "/replica/status").body : "";
         if (wire::ParseObject(body, &document) && wire::Flag(document, "serves")) return i;
       }
       usleep(100000);
@@ -137,7 +141,7 @@
   pid_t pids_[3] = {};
 };
 
-TEST_F(Replicas, AnswerAllAlikeAndOutliveTheLeader) {
+TEST_F(ReplicatedService, ServesTheSameDataAfterLeaderFailure) {
   StartAll();
   ASSERT_TRUE(Put(0, "a/1", "11"));
   for (size_t i = 0; i < 3; ++i) EXPECT_EQ(Value(i, "a/1"), "11");
@@ -151,7 +155,7 @@
   EXPECT_EQ(Value(first, "a/2"), "22");
 }
 
-TEST_F(Replicas, AMajorityThatIsGoneIsAnswered503AndNothingIsOld) {
+TEST_F(ReplicatedService, WithoutAMajorityRespondsWith503OrNotAtAll) {
   StartAll();
   ASSERT_TRUE(Put(0, "a/1", "11"));
   const size_t leader = Leader();
@@ -159,7 +163,7 @@
     if (i != leader) Kill(i);
   }
   usleep(1500000);
-  const http::ClientAnswer read = Ask(leader, "GET", "/store/a/1");
+  const http::ClientAnswer read = SendRequest(leader, "GET", "/store/a/1");
   EXPECT_TRUE(!read.answered() || read.status == 503) << read.status;
   for (size_t i = 0; i < 3; ++i) {
     if (i != leader) Start(i);
@@ -167,7 +171,7 @@
   EXPECT_EQ(Value(leader, "a/1"), "11");
 }
 
-TEST_F(Replicas, ALostDiskIsFilledAgainAndCountsAfterwards) {
+TEST_F(ReplicatedService, ReplicaWithALostDiskIsRestoredAndBecomesAMember) {
   StartAll();
   ASSERT_TRUE(Put(0, "a/1", "11"));
   const size_t leader = Leader();
@@ -188,26 +192,30 @@
   EXPECT_EQ(Value(lost, "a/3"), "33");
 }
 
-TEST_F(Replicas, DirectoriesAreNotMixedUp) {
+TEST_F(ReplicatedService, RefusesUnsuitableDirectoriesAndUnknownNames) {
   Init(0);
   // init twice, serving a replica's directory without replication, and an unknown replica name.
-  EXPECT_EQ(ExitOf({BADGERSHORE_STATE, "init", "--data", Data(0), "--replicas", set_file()}), 1);
-  EXPECT_EQ(ExitOf({BADGERSHORE_STATE, "serve", "--data", Data(0), "--listen", "127.0.0.1:0"}), 1);
-  EXPECT_EQ(ExitOf({BADGERSHORE_STATE, "serve", "--data", Data(0), "--replicas", set_file(),
-                    "--name", "nobody"}),
+  EXPECT_EQ(
+      RunAndGetExitCode({BADGERSHORE_STATE, "init", "--data", Data(0), "--replicas", set_file()}),
+      1);
+  EXPECT_EQ(
+      RunAndGetExitCode({BADGERSHORE_STATE, "serve", "--data", Data(0), "--listen", "127.0.0.1:0"}),
+      1);
+  EXPECT_EQ(RunAndGetExitCode({BADGERSHORE_STATE, "serve", "--data", Data(0), "--replicas",
+                               set_file(), "--name", "nobody"}),
             2);
 }
 
 // Disk faults can be injected into replica 1.
-class ReplicasWithAFailingDisk : public Replicas {
+class ReplicatedServiceFailingDisk : public ReplicatedService {
  protected:
-  ReplicasWithAFailingDisk() : disk_(Data(kFailing), root_ + "/fault") {}
-  void StartAllWithOne() {
+  ReplicatedServiceFailingDisk() : disk_(Data(kFailing), root_ + "/fault") {}
+  void StartAllWithOneFailingDisk() {
     for (size_t i = 0; i < 3; ++i) {
       Init(i);
-      if (i == kFailing) disk_.Begin();
+      if (i == kFailing) disk_.EnablePreload();
       Start(i);
-      disk_.End();
+      disk_.DisablePreload();
     }
   }
   // The exit code of that replica, within 10 s; -1: still running or killed by a signal.
@@ -229,17 +237,17 @@
 
 // Guards against the loss of acknowledged writes by one failing disk, and against a replica that
 // does not take part again when its disk works again.
-TEST_F(ReplicasWithAFailingDisk, LoseNothingAndUseItAgain) {
+TEST_F(ReplicatedServiceFailingDisk, KeepsAcknowledgedWritesAndTheReplicaRejoins) {
   for (const int fault : {ENOSPC, EIO}) {
     for (size_t i = 0; i < 3; ++i) {
       Kill(i);
       fs::remove_all(Data(i));
     }
-    StartAllWithOne();
+    StartAllWithOneFailingDisk();
     ASSERT_TRUE(Put(0, "a/1", "11"));
     disk_.Fail(fault);
     ASSERT_TRUE(Put(0, "a/2", "22"));
-    disk_.Heal();
+    disk_.ClearFault();
     ASSERT_TRUE(Put(0, "a/3", "33"));
     Kill(2);  // from here on replica 1 is needed for a majority
     ASSERT_TRUE(Put(0, "a/4", "44"));
@@ -255,8 +263,8 @@
 }
 
 // Guards against a replica that does not exit on SIGTERM while it waits for its disk.
-TEST_F(ReplicasWithAFailingDisk, EndIt) {
-  StartAllWithOne();
+TEST_F(ReplicatedServiceFailingDisk, ReplicaExitsOnSigtermWhileItsDiskFails) {
+  StartAllWithOneFailingDisk();
   ASSERT_TRUE(Put(0, "a/1", "11"));
   disk_.Fail(EIO);
   ASSERT_TRUE(Put(0, "a/2", "22"));
@@ -266,8 +274,8 @@
 }
 
 // Guards against a replica that retries forever although its data is corrupt.
-TEST_F(ReplicasWithAFailingDisk, DamageEndsTheReplica) {
-  StartAllWithOne();
+TEST_F(ReplicatedServiceFailingDisk, ReplicaExitsOnCorruptData) {
+  StartAllWithOneFailingDisk();
   for (int i = 0; i < 5; ++i) ASSERT_TRUE(Put(0, "a/" + std::to_string(i), "1"));
   disk_.Fail(EIO);
   ASSERT_TRUE(Put(0, "b/1", "11"));
@@ -275,11 +283,11 @@
   for (const auto& file : fs::directory_iterator(Data(kFailing))) {
     if (file.path().extension() != ".log") continue;
     std::fstream out(file.path(), std::ios::in | std::ios::out | std::ios::binary);
-    constexpr std::streamoff kInTheFirstRecord = 20;
-    out.seekp(kInTheFirstRecord);
+    constexpr std::streamoff kOffsetInFirstRecord = 20;
+    out.seekp(kOffsetInFirstRecord);
     out.put('\xff');
   }
-  disk_.Heal();
+  disk_.ClearFault();
   constexpr int kDataDamaged = 3;  // docs/operations.md
   EXPECT_EQ(ExitCodeOfFailing(), kDataDamaged);
   ASSERT_TRUE(Put(0, "b/3", "33"));
--- a/tests/replication_test.cpp
+++ b/tests/replication_test.cpp
@@ -12,7 +12,7 @@
 using check::PlantedInReplication;
 using check::ReplicationPlan;
 
-Outcome WalkThrough(const ReplicationPlan& plan, uint64_t walks) {
+Outcome RandomWalks(const ReplicationPlan& plan, uint64_t walks) {
   return check::Walk([&] { return check::ReplicationPlay(plan); }, walks, 160, 1);
 }
 
@@ -25,11 +25,11 @@
   return plan;
 }
 
-TEST(ReplicationModel, NoWalkBreaksIt) {
+TEST(ReplicationModel, RandomWalksKeepTheInvariants) {
   check::ReplicationCoverage seen;
   ReplicationPlan plan = LongPlan();
   plan.coverage = &seen;
-  const Outcome out = WalkThrough(plan, 3000);
+  const Outcome out = RandomWalks(plan, 3000);
   EXPECT_GT(seen.commits, 10000u);
   EXPECT_GT(seen.leaders, 4000u);  // each walk starts with one
   EXPECT_GT(seen.images, 50u);
@@ -38,14 +38,14 @@
   EXPECT_GT(out.depth, 100);
 }
 
-TEST(ReplicationModel, NoWalkWithALostDiskBreaksIt) {
+TEST(ReplicationModel, RandomWalksWithALostDiskKeepTheInvariants) {
   ReplicationPlan plan = LongPlan();
   plan.wipes = 1;
-  const Outcome out = WalkThrough(plan, 2000);
+  const Outcome out = RandomWalks(plan, 2000);
   EXPECT_EQ(out.broken, "") << testing::PrintToString(out.path);
 }
 
-TEST(ReplicationModel, NoShortOrderBreaksIt) {
+TEST(ReplicationModel, ShortEventSequencesKeepTheInvariants) {
   ReplicationPlan plan;
   plan.proposals = 1;
   plan.losses = 0;
@@ -55,23 +55,23 @@
   EXPECT_GE(out.depth, 4);
 }
 
-class Planted : public testing::TestWithParam<PlantedInReplication> {};
+class InjectedError : public testing::TestWithParam<PlantedInReplication> {};
 
-TEST_P(Planted, IsFound) {
+TEST_P(InjectedError, IsDetected) {
   ReplicationPlan plan = LongPlan();
   plan.planted = GetParam();
   plan.wipes = GetParam() == PlantedInReplication::kEmptyDiskCounts ? 1 : 0;
-  EXPECT_NE(WalkThrough(plan, 20000).broken, "");
+  EXPECT_NE(RandomWalks(plan, 20000).broken, "");
 }
 
-INSTANTIATE_TEST_SUITE_P(Faults, Planted,
+INSTANTIATE_TEST_SUITE_P(Faults, InjectedError,
                          testing::Values(PlantedInReplication::kForgetsState,
                                          PlantedInReplication::kSlowClock,
                                          PlantedInReplication::kEmptyDiskCounts));
 
 constexpr Micros kLease = Seconds(1);
 
-Settings Three(const std::string& self) {
+Settings ThreeReplicas(const std::string& self) {
   Settings settings;
   settings.self = self;
   settings.replicas = {"a", "b", "c"};
@@ -94,7 +94,7 @@
 
 // The response to the message; disk writes complete immediately.
 template <typename Body>
-std::optional<Body> Answered(Replica* replica, Micros now, const Message& message) {
+std::optional<Body> ResponseTo(Replica* replica, Micros now, const Message& message) {
   replica->OnMessage(now, message);
   std::optional<Body> found;
   for (int round = 0; round < 3; ++round) {
@@ -108,81 +108,82 @@
   return found;
 }
 
-bool Votes(Replica* replica, Micros now, const std::string& candidate, VoteRequest request) {
-  const auto answer = Answered<VoteAnswer>(replica, now, From(candidate, request));
-  return answer && answer->granted;
+bool GrantsVote(Replica* replica, Micros now, const std::string& candidate, VoteRequest request) {
+  const auto response = ResponseTo<VoteAnswer>(replica, now, From(candidate, request));
+  return response && response->granted;
 }
 
-TEST(Replica, VotesOnceInATermAndAfterAnEndToo) {
-  Replica voter(Three("a"), Member(), 1, Seconds(10));
+TEST(Replica, VotesOncePerTermAcrossRestarts) {
+  Replica voter(ThreeReplicas("a"), Member(), 1, Seconds(10));
   const VoteRequest request{7, false, {1, 5}};
-  EXPECT_TRUE(Votes(&voter, Seconds(12), "b", request));
-  EXPECT_FALSE(Votes(&voter, Seconds(12), "c", request));
+  EXPECT_TRUE(GrantsVote(&voter, Seconds(12), "b", request));
+  EXPECT_FALSE(GrantsVote(&voter, Seconds(12), "c", request));
   EXPECT_EQ(voter.stored().vote, (Vote{7, "b"}));
   // After a restart it has only its persistent state.
-  Replica again(Three("a"), voter.stored(), 2, Seconds(13));
-  EXPECT_FALSE(Votes(&again, Seconds(15), "c", request));
-  EXPECT_TRUE(Votes(&again, Seconds(15), "b", request));
+  Replica restarted(ThreeReplicas("a"), voter.stored(), 2, Seconds(13));
+  EXPECT_FALSE(GrantsVote(&restarted, Seconds(15), "c", request));
+  EXPECT_TRUE(GrantsVote(&restarted, Seconds(15), "b", request));
 }
 
-TEST(Replica, VotesForNobodyWhoLacksWhatItHolds) {
-  Replica voter(Three("a"), Member({3, 9}), 1, Seconds(10));
-  EXPECT_FALSE(Votes(&voter, Seconds(12), "b", {8, false, {3, 8}}));
-  EXPECT_FALSE(Votes(&voter, Seconds(12), "b", {8, false, {2, 99}}));
-  EXPECT_TRUE(Votes(&voter, Seconds(12), "b", {8, false, {3, 9}}));
+TEST(Replica, RefusesVotesForCandidatesBehindIt) {
+  Replica voter(ThreeReplicas("a"), Member({3, 9}), 1, Seconds(10));
+  EXPECT_FALSE(GrantsVote(&voter, Seconds(12), "b", {8, false, {3, 8}}));
+  EXPECT_FALSE(GrantsVote(&voter, Seconds(12), "b", {8, false, {2, 99}}));
+  EXPECT_TRUE(GrantsVote(&voter, Seconds(12), "b", {8, false, {3, 9}}));
 }
 
-TEST(Replica, KeepsItsWordToALeaderForALease) {
-  Replica follower(Three("a"), Member(), 1, Seconds(10));
+TEST(Replica, RefusesVotesWithinALeaseOfALeadersMessage) {
+  Replica follower(ThreeReplicas("a"), Member(), 1, Seconds(10));
   const Micros heard = Seconds(20);
   follower.OnMessage(heard, From("b", Append{7, heard, std::nullopt}));
   follower.Take();
   const VoteRequest request{9, false, {1, 9}};
-  EXPECT_FALSE(Votes(&follower, heard + Millis(990), "c", request));
+  EXPECT_FALSE(GrantsVote(&follower, heard + Millis(990), "c", request));
   EXPECT_EQ(follower.term(), 7u);
-  EXPECT_TRUE(Votes(&follower, heard + kLease, "c", request));
+  EXPECT_TRUE(GrantsVote(&follower, heard + kLease, "c", request));
   // After a restart it may have promised a lease to a leader before.
-  Replica again(Three("a"), Member(), 1, Seconds(30));
-  EXPECT_FALSE(Votes(&again, Seconds(30) + Millis(990), "c", request));
+  Replica restarted(ThreeReplicas("a"), Member(), 1, Seconds(30));
+  EXPECT_FALSE(GrantsVote(&restarted, Seconds(30) + Millis(990), "c", request));
 }
 
-TEST(Replica, WithoutItsDiskNeitherVotesNorCounts) {
-  Replica empty(Three("a"), Stored{}, 1, Seconds(10));
-  EXPECT_FALSE(Votes(&empty, Seconds(15), "b", {8, false, {1, 9}}));
+TEST(Replica, WithAnEmptyDiskIsNoMemberUntilItHasTheState) {
+  Replica empty(ThreeReplicas("a"), Stored{}, 1, Seconds(10));
+  EXPECT_FALSE(GrantsVote(&empty, Seconds(15), "b", {8, false, {1, 9}}));
   const Micros now = Seconds(16);
-  const auto answer = Answered<AppendAnswer>(&empty, now, From("b", Append{8, now, std::nullopt}));
-  ASSERT_TRUE(answer);
-  EXPECT_FALSE(answer->member);
+  const auto response =
+      ResponseTo<AppendAnswer>(&empty, now, From("b", Append{8, now, std::nullopt}));
+  ASSERT_TRUE(response);
+  EXPECT_FALSE(response->member);
   const ImagePart part{8, now, {8, 10}, 0, 3, "abc"};
-  const auto installed = Answered<AppendAnswer>(&empty, now, From("b", part));
+  const auto installed = ResponseTo<AppendAnswer>(&empty, now, From("b", part));
   ASSERT_TRUE(installed);
   EXPECT_EQ(installed->position, (Position{8, 10}));
   EXPECT_FALSE(empty.stored().member);
   // It becomes a member after `rejoin_after`.
   const Micros later = Seconds(21);
-  Answered<AppendAnswer>(&empty, later, From("b", Append{8, later, std::nullopt}));
+  ResponseTo<AppendAnswer>(&empty, later, From("b", Append{8, later, std::nullopt}));
   EXPECT_TRUE(empty.stored().member);
 }
 
-TEST(Replica, NeverGoesBackToAnOlderState) {
-  Replica follower(Three("a"), Member({8, 20}), 1, Seconds(10));
+TEST(Replica, IgnoresAnOlderSnapshot) {
+  Replica follower(ThreeReplicas("a"), Member({8, 20}), 1, Seconds(10));
   const ImagePart part{9, Seconds(12), {8, 19}, 0, 3, "abc"};
-  const auto answer = Answered<AppendAnswer>(&follower, Seconds(12), From("b", part));
-  ASSERT_TRUE(answer);
-  EXPECT_EQ(answer->position, (Position{8, 20}));
+  const auto response = ResponseTo<AppendAnswer>(&follower, Seconds(12), From("b", part));
+  ASSERT_TRUE(response);
+  EXPECT_EQ(response->position, (Position{8, 20}));
 }
 
-TEST(Replica, AnotherServicesMessagesAreDropped) {
-  Replica follower(Three("a"), Member(), 1, Seconds(10));
+TEST(Replica, IgnoresMessagesOfAnotherService) {
+  Replica follower(ThreeReplicas("a"), Member(), 1, Seconds(10));
   Message foreign = From("b", Append{7, Seconds(12), std::nullopt});
   foreign.history = "other";
-  EXPECT_FALSE(Answered<AppendAnswer>(&follower, Seconds(12), foreign));
+  EXPECT_FALSE(ResponseTo<AppendAnswer>(&follower, Seconds(12), foreign));
   EXPECT_EQ(follower.leader(), "");
 }
 
 // A leader that has committed the first entry of its term; `c` has not responded yet.
-Replica Leading(Micros now) {
-  Replica leader(Three("a"), Member(), 1, now - Seconds(3));
+Replica MakeLeader(Micros now) {
+  Replica leader(ThreeReplicas("a"), Member(), 1, now - Seconds(3));
   leader.Tick(now);
   leader.Take();
   const uint64_t term = leader.term() + 1;
@@ -197,9 +198,9 @@
   return leader;
 }
 
-TEST(Replica, AnswersOnlyWhileAMajorityHasHeardIt) {
+TEST(Replica, ServesOnlyWhileItHoldsTheLeaderLease) {
   const Micros now = Seconds(13);
-  Replica leader = Leading(now);
+  Replica leader = MakeLeader(now);
   EXPECT_TRUE(leader.MayServe(now));
   EXPECT_TRUE(leader.MayServe(now + Millis(970)));
   EXPECT_FALSE(leader.MayServe(now + Millis(990)));
@@ -208,9 +209,9 @@
   EXPECT_TRUE(leader.MayServe(now + Millis(995)));
 }
 
-TEST(Replica, CommitsWhatAMajorityHoldsAndNothingElse) {
+TEST(Replica, CommitsOnlyEntriesHeldByAMajority) {
   const Micros now = Seconds(13);
-  Replica leader = Leading(now);
+  Replica leader = MakeLeader(now);
   ASSERT_TRUE(leader.CanPropose());
   const Position position = leader.Propose(now, store::Batch{});
   leader.Take();
@@ -224,9 +225,9 @@
   EXPECT_EQ(leader.Take().committed, std::vector<Position>{position});
 }
 
-TEST(Replica, GivesUpLeadingWhenNobodyAnswers) {
+TEST(Replica, StepsDownWithoutResponses) {
   const Micros now = Seconds(13);
-  Replica leader = Leading(now);
+  Replica leader = MakeLeader(now);
   leader.Tick(now + Millis(1900));
   EXPECT_EQ(leader.role(), Replica::Role::kLeader);
   leader.Tick(now + Millis(2100));
@@ -234,9 +235,9 @@
 }
 
 // Guards against a leader with a hanging disk that keeps the whole service from committing.
-TEST(Replica, ADiskThatDoesNotAnswerStopsLeading) {
+TEST(Replica, StepsDownWhenItsDiskHangs) {
   const Micros now = Seconds(13);
-  Replica leader = Leading(now);
+  Replica leader = MakeLeader(now);
   leader.Propose(now, store::Batch{});
   const Micros due = now + kLease.Scaled(2) + Settings().heartbeat;
   for (Micros at = now; at <= due; at += Millis(50)) {
@@ -250,9 +251,9 @@
   EXPECT_EQ(leader.stored().position, (Position{leader.term(), 7}));
 }
 
-TEST(Replica, AFailingDiskStopsLeading) {
+TEST(Replica, StepsDownWhenItsDiskFails) {
   const Micros now = Seconds(13);
-  Replica leader = Leading(now);
+  Replica leader = MakeLeader(now);
   leader.Propose(now, store::Batch{});
   leader.OnStored(now, false);
   EXPECT_FALSE(leader.MayServe(now));
--- a/tests/state_program_test.cpp
+++ b/tests/state_program_test.cpp
@@ -64,23 +64,23 @@
     waitpid(pid_, &status_, 0);
     pid_ = 0;
   }
-  static io::Task<void> Story(StateProgram* t, std::string method, std::string target,
-                              std::string body, http::ClientAnswer* out) {
-    http::Client client(&t->loop_, t->addr_, 0, {});
+  static io::Task<void> RequestOnce(StateProgram* test, std::string method, std::string target,
+                                    std::string body, http::ClientAnswer* out) {
+    http::Client client(&test->loop_, test->addr_, 0, {});
     *out =
         co_await client.Request(std::move(method), std::move(target), std::move(body), Seconds(30));
-    t->loop_.Stop();
+    test->loop_.Stop();
   }
-  http::ClientAnswer Ask(const std::string& method, const std::string& target,
-                         const std::string& body = "") {
+  http::ClientAnswer SendRequest(const std::string& method, const std::string& target,
+                                 const std::string& body = "") {
     http::ClientAnswer a;
     loop_.Restart();
-    io::Spawn(Story(this, method, target, body, &a));
+    io::Spawn(RequestOnce(this, method, target, body, &a));
     loop_.Run();
     return a;
   }
   int Status(const std::string& method, const std::string& target, const std::string& body = "") {
-    return Ask(method, target, body).status;
+    return SendRequest(method, target, body).status;
   }
   int Run(const std::string& args, std::string* out) {
     FILE* p = popen((std::string(BADGERSHORE_STATE) + " " + args + " 2>&1").c_str(), "r");
@@ -95,9 +95,9 @@
   int status_ = 0;
 };
 
-TEST_F(StateProgram, KeepsWhatItHasAnsweredThroughAKill) {
+TEST_F(StateProgram, KeepsAcknowledgedDataAcrossSigkill) {
   Start();
-  EXPECT_EQ(Ask("POST", "/grants", R"({"lifeMs":600000})").body, R"({"tenancy":1})");
+  EXPECT_EQ(SendRequest("POST", "/grants", R"({"lifeMs":600000})").body, R"({"tenancy":1})");
   EXPECT_EQ(Status("POST", "/commit",
                    R"({"then":[{"put":"a/b","value":{"x":[1,2.5,null]},"tenancy":1}]})"),
             200);
@@ -105,21 +105,21 @@
   EXPECT_EQ(Status("POST", "/commit", R"({"then":[{"delete":"a/c"}]})"), 200);
   Kill();
   Start();
-  EXPECT_EQ(Ask("GET", "/store/a/b").body,
+  EXPECT_EQ(SendRequest("GET", "/store/a/b").body,
             R"({"path":"a/b","value":{"x":[1,2.5,null]},"stamp":1,"tenancy":1})");
   EXPECT_EQ(Status("GET", "/store/a/c"), 404);
   EXPECT_EQ(Status("POST", "/grants/1/touch", "{}"), 200);
   // A watch continues from an earlier revision, including deletions; a lease id is not reused.
-  EXPECT_EQ(Ask("GET", "/changes?starts=a/&since=1&waitMs=0").body,
+  EXPECT_EQ(SendRequest("GET", "/changes?starts=a/&since=1&waitMs=0").body,
             R"({"epoch":3,"log":[{"put":"a/c","value":1,"stamp":2},{"delete":"a/c","stamp":3}]})");
-  EXPECT_EQ(Ask("POST", "/grants", R"({"lifeMs":1000})").body, R"({"tenancy":2})");
+  EXPECT_EQ(SendRequest("POST", "/grants", R"({"lifeMs":1000})").body, R"({"tenancy":2})");
   EXPECT_EQ(Status("DELETE", "/grants/1"), 200);
   EXPECT_EQ(Status("GET", "/store/a/b"), 404);
   Kill(SIGTERM);
   EXPECT_TRUE(WIFEXITED(status_) && WEXITSTATUS(status_) == 0);
 }
 
-TEST_F(StateProgram, SaysInOneLineWhatItCannotDo) {
+TEST_F(StateProgram, ReportsErrorsInOneLine) {
   Start();
   std::string line;
   const std::string data = root_ + "/data";
@@ -150,7 +150,7 @@
   EXPECT_EQ(Status("POST", "/commit", R"({"then":[{"put":"a","value":1}]})"), 200);
 }
 
-TEST_F(StateProgram, KeepsItsLimits) {
+TEST_F(StateProgram, EnforcesItsLimits) {
   Start("limits:\n  write_rps: 0.01\n  value_kb: 1\n  txn_ops: 3\n");
   const std::string big(2000, 'x');
   EXPECT_EQ(Status("POST", "/commit", R"({"then":[{"put":"a","value":")" + big + "\"}]}"), 400);
@@ -164,35 +164,35 @@
 }
 
 // Redirects standard error to a file, also for programs started meanwhile.
-class CapturedErrors {
+class StderrRedirect {
  public:
-  explicit CapturedErrors(std::string file) : file_(std::move(file)), saved_(dup(STDERR_FILENO)) {
+  explicit StderrRedirect(std::string file) : file_(std::move(file)), saved_(dup(STDERR_FILENO)) {
     const int out = open(file_.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(out, STDERR_FILENO);
     close(out);
   }
-  ~CapturedErrors() {
+  ~StderrRedirect() {
     dup2(saved_, STDERR_FILENO);
     close(saved_);
   }
-  CapturedErrors(const CapturedErrors&) = delete;
-  CapturedErrors& operator=(const CapturedErrors&) = delete;
+  StderrRedirect(const StderrRedirect&) = delete;
+  StderrRedirect& operator=(const StderrRedirect&) = delete;
 
  private:
   std::string file_;
   int saved_;
 };
 
-class StateProgramOnAFailingDisk : public StateProgram {
+class StateProgramFailingDisk : public StateProgram {
  protected:
-  StateProgramOnAFailingDisk() : disk_(root_ + "/data", root_ + "/fault") {}
+  StateProgramFailingDisk() : disk_(root_ + "/data", root_ + "/fault") {}
   void StartOnFailingDisk() {
-    const CapturedErrors errors(root_ + "/errors");
-    disk_.Begin();
+    const StderrRedirect errors(root_ + "/errors");
+    disk_.EnablePreload();
     Start();
-    disk_.End();
+    disk_.DisablePreload();
   }
-  std::string Errors() const {
+  std::string CapturedStderr() const {
     std::ifstream in(root_ + "/errors");
     return std::string(std::istreambuf_iterator<char>(in), {});
   }
@@ -225,7 +225,7 @@
 
 // Guards against a service that does not use a disk that works again, against the loss of
 // acknowledged changes, and against a refused change that was applied.
-TEST_F(StateProgramOnAFailingDisk, GoesOnByItselfAndKeepsWhatItAnswered) {
+TEST_F(StateProgramFailingDisk, ResumesAndKeepsAcknowledgedData) {
   for (const int fault : {ENOSPC, EIO}) {
     fs::remove_all(root_ + "/data");
     StartOnFailingDisk();
@@ -234,10 +234,10 @@
     EXPECT_NE(Put("k/2", 2), 200);
     EXPECT_EQ(Put("k/3", 3), 503);
     EXPECT_EQ(Status("GET", "/store/k/1"), 200);
-    disk_.Heal();
+    disk_.ClearFault();
     const int accepted = PutUntilAccepted(10);
     ASSERT_GE(accepted, 10);
-    EXPECT_NE(Errors().find("disk operations have been failing for "), std::string::npos);
+    EXPECT_NE(CapturedStderr().find("disk operations have been failing for "), std::string::npos);
     Kill();
     Start();
     EXPECT_EQ(Status("GET", "/store/k/1"), 200);
@@ -248,7 +248,7 @@
 }
 
 // Guards against a process that does not exit on SIGTERM while it waits for its disk.
-TEST_F(StateProgramOnAFailingDisk, EndsWhenItIsTold) {
+TEST_F(StateProgramFailingDisk, ExitsOnSigtermWhileTheDiskFails) {
   StartOnFailingDisk();
   ASSERT_EQ(Put("k/1", 1), 200);
   disk_.Fail(EIO);
@@ -258,7 +258,7 @@
 }
 
 // Guards against retrying forever, without a log line, although the data is corrupt.
-TEST_F(StateProgramOnAFailingDisk, DamageFoundWhileItServesEndsIt) {
+TEST_F(StateProgramFailingDisk, ExitsOnCorruptData) {
   StartOnFailingDisk();
   for (int i = 1; i <= 5; ++i) ASSERT_EQ(Put("k/" + std::to_string(i), i), 200);
   disk_.Fail(EIO);
@@ -268,24 +268,24 @@
     if (file.path().extension() == ".log") log = file.path().string();
   }
   std::fstream out(log, std::ios::in | std::ios::out | std::ios::binary);
-  constexpr std::streamoff kInTheFirstRecord = 20;
-  out.seekg(kInTheFirstRecord);
+  constexpr std::streamoff kOffsetInFirstRecord = 20;
+  out.seekg(kOffsetInFirstRecord);
   const char byte = static_cast<char>(out.get() ^ 1);
-  out.seekp(kInTheFirstRecord);
+  out.seekp(kOffsetInFirstRecord);
   out.put(byte);
   out.close();
-  disk_.Heal();
+  disk_.ClearFault();
   constexpr int kDataDamaged = 3;  // docs/operations.md
   EXPECT_EQ(ExitCode(), kDataDamaged);
   const std::string line = log + ": byte 0: corrupt; restore a snapshot";
-  EXPECT_NE(Errors().find(line), std::string::npos) << Errors();
-  std::string said;
-  EXPECT_EQ(Run("serve --listen 127.0.0.1:0 --data " + root_ + "/data", &said), kDataDamaged);
-  EXPECT_EQ(said, "badgershore-state: " + line + "\n");
+  EXPECT_NE(CapturedStderr().find(line), std::string::npos) << CapturedStderr();
+  std::string output;
+  EXPECT_EQ(Run("serve --listen 127.0.0.1:0 --data " + root_ + "/data", &output), kDataDamaged);
+  EXPECT_EQ(output, "badgershore-state: " + line + "\n");
 }
 
 // Guards against a snapshot that has its final name before it is durable.
-TEST_F(StateProgramOnAFailingDisk, ASnapshotThatCannotBeSyncedIsNone) {
+TEST_F(StateProgramFailingDisk, RefusesASnapshotThatCannotBeSynced) {
   Start();
   ASSERT_EQ(Put("k/1", 1), 200);
   Kill();
@@ -293,11 +293,12 @@
   fs::create_directory(root_ + "/snapshots");
   const std::string file = root_ + "/snapshots/s.tar.zst";
   disk.Fail(EIO, "fsync");
-  disk.Begin();
-  std::string said;
-  EXPECT_EQ(Run("snapshot --data " + root_ + "/data --out " + file, &said), 1);
-  disk.End();
-  EXPECT_EQ(said, "badgershore-state: " + file + ".partial: can't be synced: Input/output error\n");
+  disk.EnablePreload();
+  std::string output;
+  EXPECT_EQ(Run("snapshot --data " + root_ + "/data --out " + file, &output), 1);
+  disk.DisablePreload();
+  EXPECT_EQ(output,
+            "badgershore-state: " + file + ".partial: can't be synced: Input/output error\n");
   EXPECT_FALSE(fs::exists(file));
 }
 
--- a/tests/store_disk_failure_test.cpp
+++ b/tests/store_disk_failure_test.cpp
@@ -23,8 +23,8 @@
 namespace fs = std::filesystem;
 
 constexpr auto kRecoveryDeadline = std::chrono::seconds(30);
-constexpr int kNotes = 3;
-constexpr int kMostRetries = 200;
+constexpr int kMetadataWrites = 3;
+constexpr int kMaxRetries = 200;
 
 // Observes RocksDB's automatic recovery from a failed write, which runs on a background thread.
 class RecoveryObserver : public rocksdb::EventListener {
@@ -81,9 +81,9 @@
 
 bool IsLog(const std::string& path) { return path.ends_with(".log"); }
 
-class FailingDisk : public testing::Test {
+class FailingDiskTest : public testing::Test {
  protected:
-  FailingDisk() {
+  FailingDiskTest() {
     char name[] = "/tmp/badgershore-failing-disk-XXXXXX";
     root_ = mkdtemp(name);
     dir_ = root_ + "/state";
@@ -91,7 +91,7 @@
     options_.reserve_bytes = 0;
     options_.env = env_.get();
   }
-  ~FailingDisk() override { fs::remove_all(root_); }
+  ~FailingDiskTest() override { fs::remove_all(root_); }
 
   void WriteBatches(uint64_t first, uint64_t last) {
     Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
@@ -109,7 +109,7 @@
   }
   // Writes owner metadata directly with RocksDB and fails the next append. If RocksDB recovers
   // automatically, it creates a newer log and then fails to append to the table.
-  void FailAnAppend(const rocksdb::Options& as, DiskFault fault) {
+  void FailAppend(const rocksdb::Options& as, DiskFault fault) {
     rocksdb::Options options = as;
     const auto observer = std::make_shared<RecoveryObserver>();
     options.listeners.push_back(observer);
@@ -117,7 +117,7 @@
       if (operation == DiskOperation::kCreate && IsLog(path)) observer->OnLogCreated();
       return operation == DiskOperation::kAppend;
     };
-    WriteNoteAndFailNext(options, fault, appends);
+    WriteMetadataAndFailNext(options, fault, appends);
     recovery_begun_ = observer->begun();
     if (recovery_begun_) {
       ASSERT_TRUE(observer->WaitForNewerLog());
@@ -125,7 +125,7 @@
     CloseDatabase();
   }
   // The same, but RocksDB's recovery succeeds except for deleting the torn log.
-  void FailAnAppendAndADeletion(const rocksdb::Options& as) {
+  void FailAppendAndLogDeletion(const rocksdb::Options& as) {
     rocksdb::Options options = as;
     const auto observer = std::make_shared<RecoveryObserver>();
     options.listeners.push_back(observer);
@@ -133,18 +133,18 @@
       return IsLog(path) &&
              (operation == DiskOperation::kAppend || operation == DiskOperation::kDelete);
     };
-    WriteNoteAndFailNext(options, DiskFault::kNoSpace, logs);
+    WriteMetadataAndFailNext(options, DiskFault::kNoSpace, logs);
     ASSERT_TRUE(observer->WaitForEnd());
     CloseDatabase();
   }
-  void WriteNoteAndFailNext(const rocksdb::Options& options, DiskFault fault,
-                            FaultPlan::Condition which) {
+  void WriteMetadataAndFailNext(const rocksdb::Options& options, DiskFault fault,
+                                FaultPlan::Condition which) {
     rocksdb::DB* database = nullptr;
     ASSERT_TRUE(rocksdb::DB::Open(options, dir_, &database).ok());
     database_.reset(database);
     rocksdb::WriteOptions sync;
     sync.sync = true;
-    for (int i = 0; i < kNotes; ++i) {
+    for (int i = 0; i < kMetadataWrites; ++i) {
       ASSERT_TRUE(database_->Put(sync, kOwnerMetadataKey, "note").ok());
     }
     plan_.Fail(fault, 1, 1000, std::move(which));
@@ -165,7 +165,7 @@
     return options;
   }
   // The error of opening the database; empty on success.
-  std::string Refusal() const {
+  std::string OpenError() const {
     try {
       Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
     } catch (const DataDamagedError& error) {
@@ -173,7 +173,7 @@
     }
     return "";
   }
-  void ExpectTheFirstFiveAndTheNote() {
+  void ExpectFirstFiveBatchesAndOwnerMetadata() {
     Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
     EXPECT_EQ(engine.Load(), ImageAfter(5));
     EXPECT_EQ(engine.LoadOwnerMetadata(), "note");
@@ -189,36 +189,36 @@
 
 // Guards against RocksDB's automatic recovery, which creates a newer log next to the torn one while
 // the engine reopens the database; the directory could not be opened any more afterwards.
-TEST_F(FailingDisk, TheLibraryRecoversFromNoFailedWriteByItself) {
+TEST_F(FailingDiskTest, AutomaticRecoveryIsDisabled) {
   for (const DiskFault fault :
        {DiskFault::kNoSpace, DiskFault::kRetryableIoError, DiskFault::kIoError}) {
     fs::remove_all(dir_);
     WriteBatches(1, 5);
-    FailAnAppend(ServiceOptions(), fault);
+    FailAppend(ServiceOptions(), fault);
     EXPECT_FALSE(recovery_begun_);
     EXPECT_EQ(Logs().size(), 1u);
-    ExpectTheFirstFiveAndTheNote();
+    ExpectFirstFiveBatchesAndOwnerMetadata();
   }
 }
 
 // Guards against refusing a directory that contains all acknowledged writes.
-TEST_F(FailingDisk, ATornLogBesideAnEmptyNewerOneOpens) {
+TEST_F(FailingDiskTest, OpensATornLogFollowedByAnEmptyLog) {
   WriteBatches(1, 5);
-  FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
+  FailAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   EXPECT_EQ(fs::file_size(Logs()[1]), 0u);
-  ExpectTheFirstFiveAndTheNote();
+  ExpectFirstFiveBatchesAndOwnerMetadata();
   WriteBatches(6, 7);
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   EXPECT_EQ(engine.Load(), ImageAfter(7));
 }
 
 // Guards against the same after RocksDB has flushed all of the torn log to a table.
-TEST_F(FailingDisk, ATornLogThatTheManifestDoesNotNeedIsPassedOver) {
+TEST_F(FailingDiskTest, IgnoresATornLogThatTheManifestDoesNotNeed) {
   WriteBatches(1, 5);
-  FailAnAppendAndADeletion(OptionsWithAutomaticRecovery());
+  FailAppendAndLogDeletion(OptionsWithAutomaticRecovery());
   ASSERT_EQ(Logs().size(), 2u);
-  ExpectTheFirstFiveAndTheNote();
+  ExpectFirstFiveBatchesAndOwnerMetadata();
   WriteBatches(6, 7);
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   EXPECT_EQ(engine.Load(), ImageAfter(7));
@@ -226,9 +226,9 @@
 
 // Guards against corruption of acknowledged writes that is taken for the torn write of a failed
 // append.
-TEST_F(FailingDisk, AFlippedBitInATornLogBesideAnEmptyNewerOneIsRefused) {
+TEST_F(FailingDiskTest, DetectsABitFlipInATornLogFollowedByAnEmptyLog) {
   WriteBatches(1, 5);
-  FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
+  FailAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   const std::string log = Logs()[0], bytes = ReadBytes(log);
   const size_t acknowledged = CheckLog(bytes).valid_bytes;
@@ -236,39 +236,40 @@
   ASSERT_LT(acknowledged, bytes.size());
   for (size_t at = 0; at < acknowledged; ++at) {
     for (int bit = 0; bit < 8; ++bit) {
-      std::string damaged = bytes;
-      damaged[at] = static_cast<char>(damaged[at] ^ 1 << bit);
-      WriteBytes(log, damaged);
-      EXPECT_EQ(Refusal().rfind(log + ": byte ", 0), 0u) << at << " " << bit << " " << Refusal();
+      std::string corrupted = bytes;
+      corrupted[at] = static_cast<char>(corrupted[at] ^ 1 << bit);
+      WriteBytes(log, corrupted);
+      EXPECT_EQ(OpenError().rfind(log + ": byte ", 0), 0u)
+          << at << " " << bit << " " << OpenError();
     }
   }
 }
 
 // Guards against truncating the last acknowledged write as a torn write because of a bit flip in
 // its length.
-TEST_F(FailingDisk, AFlippedBitInTheLengthOfTheLastRecordIsDamage) {
+TEST_F(FailingDiskTest, BitFlipInTheLastRecordsLengthIsCorruption) {
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
   const std::string bytes = ReadBytes(Logs()[0]);
   const size_t last_record = CheckLog(bytes.substr(0, bytes.size() - 1)).valid_bytes;
   constexpr size_t kLengthOffset = 4, kLengthBits = 16;
   for (size_t bit = 0; bit < kLengthBits; ++bit) {
-    std::string damaged = bytes;
-    char& byte = damaged[last_record + kLengthOffset + bit / 8];
+    std::string corrupted = bytes;
+    char& byte = corrupted[last_record + kLengthOffset + bit / 8];
     byte = static_cast<char>(byte ^ 1 << bit % 8);
-    EXPECT_EQ(CheckLog(damaged).state, LogCheck::State::kCorrupt) << bit;
+    EXPECT_EQ(CheckLog(corrupted).state, LogCheck::State::kCorrupt) << bit;
   }
 }
 
 // Guards against `check`, `dump` and `snapshot` ignoring corruption of acknowledged writes.
-TEST_F(FailingDisk, AReadOnlyOpeningFindsDamageToo) {
+TEST_F(FailingDiskTest, ReadOnlyOpenDetectsCorruption) {
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
   const std::string log = Logs()[0], bytes = ReadBytes(log);
   for (size_t at = 0; at < bytes.size(); ++at) {
-    std::string damaged = bytes;
-    damaged[at] = static_cast<char>(damaged[at] ^ 1 << at % 8);
-    WriteBytes(log, damaged);
+    std::string corrupted = bytes;
+    corrupted[at] = static_cast<char>(corrupted[at] ^ 1 << at % 8);
+    WriteBytes(log, corrupted);
     try {
       Engine engine(dir_, Engine::OpenMode::kReadOnly, options_);
       engine.Load();
@@ -280,20 +281,20 @@
 }
 
 // Guards against truncating acknowledged writes in a log that is followed by a newer one.
-TEST_F(FailingDisk, ATornLogBesideANewerOneWithRecordsIsRefused) {
+TEST_F(FailingDiskTest, RefusesATornLogFollowedByALogWithRecords) {
   WriteBatches(1, 5);
-  FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
+  FailAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   const std::string bytes = ReadBytes(Logs()[0]);
   WriteBytes(Logs()[1], bytes.substr(0, CheckLog(bytes).valid_bytes));
-  EXPECT_EQ(Refusal(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).invalid_offset) +
-                           ": corrupt; restore a snapshot");
+  EXPECT_EQ(OpenError(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).invalid_offset) +
+                             ": corrupt; restore a snapshot");
 }
 
 // Writes and retries until the outcome is known.
-WriteOutcome WriteToTheEnd(Engine* engine, const Batch& batch) {
+WriteOutcome WriteUntilResolved(Engine* engine, const Batch& batch) {
   WriteOutcome written = engine->Write(batch);
-  for (int i = 0; i < kMostRetries && written == WriteOutcome::kUnknown; ++i) {
+  for (int i = 0; i < kMaxRetries && written == WriteOutcome::kUnknown; ++i) {
     written = engine->ResolveUnknownWrite();
   }
   return written;
@@ -302,7 +303,7 @@
 // Guards against the loss of an acknowledged write, an outcome that is wrong after a restart, and
 // an engine that does not use a disk that works again. Fails each disk operation in turn, then
 // again after the first successful write.
-TEST_F(FailingDisk, AnyChangeMayFailAndNothingIsLost) {
+TEST_F(FailingDiskTest, FailureOfAnyOperationLosesNoAcknowledgedWrite) {
   for (const DiskFault fault : {DiskFault::kNoSpace, DiskFault::kIoError}) {
     for (const int count : {1, 2, 5, 40}) {
       for (int first = 1; first <= 24; ++first) {
@@ -314,8 +315,8 @@
         {
           Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
           plan_.Fail(fault, first, count);
-          for (int tries = 0; tries < kMostRetries && last < 12; ++tries) {
-            const WriteOutcome written = WriteToTheEnd(&engine, NumberedBatch(last + 1));
+          for (int tries = 0; tries < kMaxRetries && last < 12; ++tries) {
+            const WriteOutcome written = WriteUntilResolved(&engine, NumberedBatch(last + 1));
             ASSERT_NE(written, WriteOutcome::kUnknown);
             if (written == WriteOutcome::kDurable) ++last;
             if (plan_.failures() > 0 && written == WriteOutcome::kDurable && !again) {
@@ -334,7 +335,7 @@
 }
 
 // Guards against a failure during opening that makes the database impossible to open later.
-TEST_F(FailingDisk, OpeningMayFailAtAnyChange) {
+TEST_F(FailingDiskTest, OpensAfterAFailureOfAnyOperation) {
   for (const DiskFault fault : {DiskFault::kNoSpace, DiskFault::kIoError}) {
     for (const int count : {1, 2, 5, 40}) {
       for (int first = 1; first <= 24; ++first) {
@@ -344,7 +345,7 @@
         WriteBatches(1, 5);
         plan_.Fail(fault, first, count);
         bool opened = false;
-        for (int tries = 0; tries < kMostRetries && !opened; ++tries) {
+        for (int tries = 0; tries < kMaxRetries && !opened; ++tries) {
           try {
             Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
             opened = true;
@@ -362,7 +363,7 @@
 }
 
 // Guards against the same when a table is flushed while the service writes.
-TEST_F(FailingDisk, ATablesWriteMayFail) {
+TEST_F(FailingDiskTest, FailureOfATableFlushLosesNoAcknowledgedWrite) {
   constexpr size_t kValueBytes = 1 << 20;
   constexpr uint64_t kBatches = 24;  // more than a write buffer
   for (const int count : {1, 40}) {
@@ -372,8 +373,9 @@
       plan_.Fail(DiskFault::kNoSpace, 1, count,
                  [](DiskOperation, const std::string& path) { return path.ends_with(".sst"); });
       uint64_t last = 0;
-      for (int tries = 0; tries < kMostRetries && last < kBatches; ++tries) {
-        const WriteOutcome written = WriteToTheEnd(&engine, NumberedBatch(last + 1, kValueBytes));
+      for (int tries = 0; tries < kMaxRetries && last < kBatches; ++tries) {
+        const WriteOutcome written =
+            WriteUntilResolved(&engine, NumberedBatch(last + 1, kValueBytes));
         ASSERT_NE(written, WriteOutcome::kUnknown);
         if (written == WriteOutcome::kDurable) ++last;
       }
@@ -387,13 +389,13 @@
 }
 
 // Guards against reporting the outcome of one batch for the next one, which was never written.
-TEST_F(FailingDisk, NothingIsWrittenBeforeAnUnknownWriteIsResolved) {
+TEST_F(FailingDiskTest, RefusesWritesUntilAnUnknownWriteIsResolved) {
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   for (uint64_t number = 1; number <= 3; ++number) {
     ASSERT_EQ(engine.Write(NumberedBatch(number)), WriteOutcome::kDurable);
   }
-  constexpr int kTheSync = 2;  // the append before it succeeds
-  plan_.Fail(DiskFault::kIoError, kTheSync, 1000);
+  constexpr int kSyncOperation = 2;  // the append before it succeeds
+  plan_.Fail(DiskFault::kIoError, kSyncOperation, 1000);
   ASSERT_EQ(engine.Write(NumberedBatch(4)), WriteOutcome::kUnknown);
   EXPECT_EQ(engine.Write(NumberedBatch(5)), WriteOutcome::kAbsent);
   plan_.Heal();
@@ -402,7 +404,7 @@
 }
 
 // Guards against a service that continues after losing acknowledged writes.
-TEST_F(FailingDisk, AcknowledgedWritesThatAreGoneAreDamage) {
+TEST_F(FailingDiskTest, MissingAcknowledgedWritesAreCorruption) {
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   for (uint64_t number = 1; number <= 5; ++number) {
     ASSERT_EQ(engine.Write(NumberedBatch(number)), WriteOutcome::kDurable);
@@ -420,7 +422,7 @@
 }
 
 // Guards against retrying a failing disk without a delay, too rarely, or without logging.
-TEST(DiskRetry, WaitsLongerAndIsSaidAtIntervals) {
+TEST(DiskRetry, BacksOffAndLogsAtIntervals) {
   DiskRetry retry;
   EXPECT_FALSE(retry.OnSuccess(Seconds(1)));
   Micros now = Seconds(10);
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -14,29 +14,29 @@
 
 // The simplest implementation of PROTOCOL: without batches, sorted indices or a durable image.
 struct Model {
-  uint64_t epoch = 0, last_lease = 0;
+  uint64_t revision = 0, last_lease_id = 0;
   std::map<std::string, VersionedValue> items;
   std::map<uint64_t, std::pair<Micros, Micros>> leases;  // time to live and expiry
   std::vector<ChangeLogEntry> log;
 
-  void Drop(uint64_t lease) {
+  void EndLease(uint64_t lease) {
     leases.erase(lease);
     std::vector<std::string> keys;
     for (const auto& [key, item] : items) {
       if (item.lease == lease) keys.push_back(key);
     }
-    if (!keys.empty()) ++epoch;
+    if (!keys.empty()) ++revision;
     for (const std::string& key : keys) {
       items.erase(key);
-      log.push_back({epoch, key, std::nullopt});
+      log.push_back({revision, key, std::nullopt});
     }
   }
-  void Pass(Micros now) {
+  void AdvanceTo(Micros now) {
     for (;;) {
       std::pair<Micros, uint64_t> first{kNever, 0};
       for (const auto& [id, l] : leases) first = std::min(first, {l.second, id});
       if (first.first > now) return;
-      Drop(first.second);
+      EndLease(first.second);
     }
   }
   Response Run(Micros now, const Request& request) {
@@ -53,24 +53,24 @@
       }
       if (!a.failed_keys.empty()) {
         a.outcome = Outcome::kConflict;
-        a.revision = epoch;
+        a.revision = revision;
         return a;
       }
       bool any = false;
       for (const auto& change : c->mutations)
         any = any || change.value || items.contains(change.key);
-      if (any) ++epoch;
+      if (any) ++revision;
       for (const auto& change : c->mutations) {
         if (change.value) {
-          items[change.key] = {*change.value, epoch, change.lease};
-          log.push_back({epoch, change.key, change.value});
+          items[change.key] = {*change.value, revision, change.lease};
+          log.push_back({revision, change.key, change.value});
         } else if (items.erase(change.key) > 0) {
-          log.push_back({epoch, change.key, std::nullopt});
+          log.push_back({revision, change.key, std::nullopt});
         }
       }
-      a.revision = epoch;
+      a.revision = revision;
     } else if (const auto* g = std::get_if<GrantLeaseRequest>(&request)) {
-      a.lease = ++last_lease;
+      a.lease = ++last_lease_id;
       leases[a.lease] = {g->time_to_live, now + g->time_to_live};
     } else if (const auto* t = std::get_if<RenewLeaseRequest>(&request)) {
       if (!leases.contains(t->lease)) {
@@ -80,7 +80,7 @@
       }
     } else if (const auto* r = std::get_if<RevokeLeaseRequest>(&request)) {
       if (leases.contains(r->lease)) {
-        Drop(r->lease);
+        EndLease(r->lease);
       } else {
         a.outcome = Outcome::kNotFound;
       }
@@ -97,8 +97,8 @@
   CompareAndSwapRequest r;
   if (a % 3 != 0) {
     const auto it = model.items.find(key(a));
-    const uint64_t right = it == model.items.end() ? 0 : it->second.version;
-    r.preconditions.push_back({key(a), a % 7 == 1 ? right + 1 : right});
+    const uint64_t current_version = it == model.items.end() ? 0 : it->second.version;
+    r.preconditions.push_back({key(a), a % 7 == 1 ? current_version + 1 : current_version});
   }
   for (int i = 0; i < b % 3; ++i) {
     CompareAndSwapRequest::Mutation change{key(c + i), std::nullopt, 0};
@@ -109,37 +109,38 @@
   return r;
 }
 
-TEST(StoreMachine, AnswersAsAPlainModelDoes) {
+TEST(StateMachineModel, RespondsLikeTheModel) {
   const bool held = rc::check("histories", [](const std::vector<Op>& ops) {
     Micros now = Seconds(1);
     StateMachine machine({}, {}, now);
     Model model;
-    std::map<RequestId, Request> asked;
-    RequestId token = 0;
+    std::map<RequestId, Request> requests;
+    RequestId request_id = 0;
     const auto compare = [&](StateMachine::Effects out) {
-      for (const auto& [t, got] : out.responses) {
-        const Request request = asked.at(t);
-        if (got.outcome == Outcome::kRefused) continue;
-        const Response want = model.Run(now, request);
-        RC_ASSERT(got.outcome == want.outcome);
-        RC_ASSERT(got.failed_keys == want.failed_keys);
-        if (want.outcome == Outcome::kOk) RC_ASSERT(got.lease == want.lease || want.lease == 0);
-        if (std::holds_alternative<CompareAndSwapRequest>(request) && want.revision) {
-          RC_ASSERT(got.revision == want.revision);
+      for (const auto& [t, actual] : out.responses) {
+        const Request request = requests.at(t);
+        if (actual.outcome == Outcome::kRefused) continue;
+        const Response expected = model.Run(now, request);
+        RC_ASSERT(actual.outcome == expected.outcome);
+        RC_ASSERT(actual.failed_keys == expected.failed_keys);
+        if (expected.outcome == Outcome::kOk)
+          RC_ASSERT(actual.lease == expected.lease || expected.lease == 0);
+        if (std::holds_alternative<CompareAndSwapRequest>(request) && expected.revision) {
+          RC_ASSERT(actual.revision == expected.revision);
         }
       }
     };
-    std::optional<Batch> under_way;
-    const auto take = [&] {
+    std::optional<Batch> batch_in_progress;
+    const auto take_effects = [&] {
       StateMachine::Effects out = machine.TakeEffects();
-      if (out.write) under_way = std::move(out.write);
+      if (out.write) batch_in_progress = std::move(out.write);
       compare(std::move(out));
     };
     const auto write = [&](WriteOutcome written) {
-      while (under_way) {
-        const uint64_t id = std::exchange(under_way, std::nullopt)->id;
+      while (batch_in_progress) {
+        const uint64_t id = std::exchange(batch_in_progress, std::nullopt)->id;
         machine.OnWriteCompleted(now, id, written);
-        take();
+        take_effects();
         written = WriteOutcome::kDurable;
       }
     };
@@ -165,9 +166,9 @@
           const Micros until = now + Millis(a);
           while (machine.NextDeadline() <= until) {
             now = std::max(now, machine.NextDeadline());
-            model.Pass(now);
+            model.AdvanceTo(now);
             machine.Tick(now);
-            take();
+            take_effects();
             write(WriteOutcome::kDurable);
           }
           now = until;
@@ -176,21 +177,21 @@
         default:
           request = RandomCommit(op, model);
       }
-      asked[++token] = request;
-      machine.Submit(now, token, request);
-      take();
+      requests[++request_id] = request;
+      machine.Submit(now, request_id, request);
+      take_effects();
     }
     write(WriteOutcome::kDurable);
     RC_ASSERT(machine.state().items == model.items);
-    RC_ASSERT(machine.state().revision == model.epoch);
+    RC_ASSERT(machine.state().revision == model.revision);
     // A watch from any revision returns every later change.
-    for (uint64_t since = 0; since <= model.epoch; ++since) {
-      machine.Submit(now, ++token, WatchRequest{"k/", since, {}});
-      std::vector<ChangeLogEntry> want;
+    for (uint64_t since = 0; since <= model.revision; ++since) {
+      machine.Submit(now, ++request_id, WatchRequest{"k/", since, {}});
+      std::vector<ChangeLogEntry> expected;
       for (const ChangeLogEntry& row : model.log) {
-        if (row.revision > since) want.push_back(row);
+        if (row.revision > since) expected.push_back(row);
       }
-      RC_ASSERT(machine.TakeEffects().responses.at(0).second.changes == want);
+      RC_ASSERT(machine.TakeEffects().responses.at(0).second.changes == expected);
     }
     // A restart from the durable image yields the same state.
     StateImage image;
@@ -200,19 +201,19 @@
   EXPECT_TRUE(held);
 }
 
-class Told : public testing::Test {
+class StateMachineTest : public testing::Test {
  protected:
-  Response Ask(Request r) {
-    machine.Submit(now, ++token, std::move(r));
-    return Serve();
+  Response SendRequest(Request r) {
+    machine.Submit(now, ++request_id, std::move(r));
+    return CompleteWrites();
   }
   // Completes all writes with `written`; returns the last response.
-  Response Serve(WriteOutcome written = WriteOutcome::kDurable) {
+  Response CompleteWrites(WriteOutcome written = WriteOutcome::kDurable) {
     Response last;
     last.outcome = Outcome::kUnknown;
     for (;;) {
       StateMachine::Effects out = machine.TakeEffects();
-      for (auto& [t, a] : out.responses) last = answers[t] = a;
+      for (auto& [t, a] : out.responses) last = responses_by_id[t] = a;
       if (!out.write) return last;
       machine.OnWriteCompleted(now, out.write->id, written);
     }
@@ -224,11 +225,11 @@
   }
   Micros now = Seconds(1);
   StateMachine machine{Limits{}, StateImage{}, now};
-  RequestId token = 0;
-  std::map<RequestId, Response> answers;
+  RequestId request_id = 0;
+  std::map<RequestId, Response> responses_by_id;
 };
 
-TEST_F(Told, AReadNeverSeesWhatIsNotDurable) {
+TEST_F(StateMachineTest, ReadsReturnOnlyDurableData) {
   machine.Submit(now, 1, Put("a", "1"));
   const Batch batch = *machine.TakeEffects().write;
   machine.Submit(now, 2, GetRequest{"a"});
@@ -245,92 +246,94 @@
   EXPECT_EQ(out.responses[1].second.outcome, Outcome::kConflict);
 }
 
-TEST_F(Told, AFullDiskRefusesChangesAndGoesOnWhenThereIsRoom) {
-  const uint64_t lease = Ask(GrantLeaseRequest{Seconds(1)}).lease;
-  Ask(Put("l", "1", lease));
-  machine.Submit(now, ++token, Put("a", "1"));
-  EXPECT_EQ(Serve(WriteOutcome::kAbsent).outcome, Outcome::kRefused);
-  EXPECT_EQ(Ask(Put("a", "2")).outcome, Outcome::kRefused);
-  EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kOk);
+TEST_F(StateMachineTest, FailedWriteRefusesChangesUntilAWriteSucceeds) {
+  const uint64_t lease = SendRequest(GrantLeaseRequest{Seconds(1)}).lease;
+  SendRequest(Put("l", "1", lease));
+  machine.Submit(now, ++request_id, Put("a", "1"));
+  EXPECT_EQ(CompleteWrites(WriteOutcome::kAbsent).outcome, Outcome::kRefused);
+  EXPECT_EQ(SendRequest(Put("a", "2")).outcome, Outcome::kRefused);
+  EXPECT_EQ(SendRequest(GetRequest{"l"}).outcome, Outcome::kOk);
   // The lease has expired meanwhile; it is renewed at the end of the outage.
   now += Seconds(5);
   machine.Tick(now);
-  Serve(WriteOutcome::kDurable);
+  CompleteWrites(WriteOutcome::kDurable);
   EXPECT_FALSE(machine.writes_blocked());
-  EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kOk);
-  EXPECT_EQ(Ask(Put("a", "3")).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(GetRequest{"l"}).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(Put("a", "3")).outcome, Outcome::kOk);
   now += Millis(999);
   machine.Tick(now);
-  Serve();
-  EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kOk);
+  CompleteWrites();
+  EXPECT_EQ(SendRequest(GetRequest{"l"}).outcome, Outcome::kOk);
   now += Millis(1);
   machine.Tick(now);
-  Serve();
-  EXPECT_EQ(Ask(GetRequest{"l"}).outcome, Outcome::kNotFound);
+  CompleteWrites();
+  EXPECT_EQ(SendRequest(GetRequest{"l"}).outcome, Outcome::kNotFound);
 }
 
-TEST_F(Told, AnUnknownFateIsNotAnsweredAndIsSettledLater) {
-  machine.Submit(now, ++token, Put("a", "1"));
+TEST_F(StateMachineTest, UnknownOutcomeGetsNoResponseAndIsResolvedLater) {
+  machine.Submit(now, ++request_id, Put("a", "1"));
   const Batch batch = *machine.TakeEffects().write;
   machine.OnWriteCompleted(now, batch.id, WriteOutcome::kUnknown);
   EXPECT_EQ(machine.TakeEffects().responses.at(0).second.outcome, Outcome::kUnknown);
-  EXPECT_EQ(Ask(Put("b", "1")).outcome, Outcome::kRefused);
-  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kNotFound);
+  EXPECT_EQ(SendRequest(Put("b", "1")).outcome, Outcome::kRefused);
+  EXPECT_EQ(SendRequest(GetRequest{"a"}).outcome, Outcome::kNotFound);
   machine.OnWriteCompleted(now, batch.id, WriteOutcome::kDurable);  // it turns out to be on disk
-  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kOk);
-  EXPECT_EQ(Ask(Put("b", "1")).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(GetRequest{"a"}).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(Put("b", "1")).outcome, Outcome::kOk);
 }
 
-TEST_F(Told, WatchesWaitAnswerAndAreToldOfWhatIsForgotten) {
-  Ask(Put("a", "1"));
+TEST_F(StateMachineTest, WatchesReturnChangesTimeOutAndReportCompaction) {
+  SendRequest(Put("a", "1"));
   machine.Submit(now, 100, WatchRequest{"b", 1, Seconds(10)});
-  Ask(Put("a", "2"));
-  EXPECT_FALSE(answers.contains(100));
-  Ask(Put("b", "3"));
-  ASSERT_TRUE(answers.contains(100));
-  EXPECT_EQ(answers[100].changes, (std::vector<ChangeLogEntry>{{3, "b", "3"}}));
+  SendRequest(Put("a", "2"));
+  EXPECT_FALSE(responses_by_id.contains(100));
+  SendRequest(Put("b", "3"));
+  ASSERT_TRUE(responses_by_id.contains(100));
+  EXPECT_EQ(responses_by_id[100].changes, (std::vector<ChangeLogEntry>{{3, "b", "3"}}));
   machine.Submit(now, 101, WatchRequest{"b", 3, Seconds(10)});
   now += Seconds(10);
   machine.Tick(now);
-  Serve();
-  EXPECT_TRUE(answers[101].changes.empty());
-  EXPECT_EQ(answers[101].revision, 3u);
-  for (size_t i = 0; i < kMinChangeLogEntries; ++i) Ask(Put("c", "1"));
-  EXPECT_EQ(Ask(WatchRequest{"", 2, {}}).outcome, Outcome::kCompacted);
-  EXPECT_EQ(Ask(WatchRequest{"", 3, {}}).changes.size(), kMinChangeLogEntries);
+  CompleteWrites();
+  EXPECT_TRUE(responses_by_id[101].changes.empty());
+  EXPECT_EQ(responses_by_id[101].revision, 3u);
+  for (size_t i = 0; i < kMinChangeLogEntries; ++i) SendRequest(Put("c", "1"));
+  EXPECT_EQ(SendRequest(WatchRequest{"", 2, {}}).outcome, Outcome::kCompacted);
+  EXPECT_EQ(SendRequest(WatchRequest{"", 3, {}}).changes.size(), kMinChangeLogEntries);
   // A revision from before an older snapshot was restored.
-  EXPECT_EQ(Ask(WatchRequest{"", machine.state().revision + 1, {}}).outcome, Outcome::kCompacted);
+  EXPECT_EQ(SendRequest(WatchRequest{"", machine.state().revision + 1, {}}).outcome,
+            Outcome::kCompacted);
 }
 
-TEST_F(Told, LimitsAreKeptAndBurstsAllowed) {
+TEST_F(StateMachineTest, EnforcesLimitsAndAllowsBursts) {
   Limits limits;
   limits.requests_per_s = 10;
   limits.changes_per_s = 4;
   limits.value_bytes = 8;
   limits.commit_changes = 2;
   machine = StateMachine(limits, {}, now);
-  EXPECT_EQ(Ask(Put("a", "123456789")).outcome, Outcome::kInvalid);
+  EXPECT_EQ(SendRequest(Put("a", "123456789")).outcome, Outcome::kInvalid);
   CompareAndSwapRequest three;
   for (const char* k : {"a", "b", "c"}) three.mutations.push_back({k, "1", 0});
-  EXPECT_EQ(Ask(three).outcome, Outcome::kInvalid);
+  EXPECT_EQ(SendRequest(three).outcome, Outcome::kInvalid);
   three.mutations.pop_back();
-  EXPECT_EQ(Ask(three).outcome, Outcome::kOk);
-  EXPECT_EQ(Ask(three).outcome, Outcome::kOk);
-  EXPECT_EQ(Ask(three).outcome, Outcome::kRateLimited);
-  for (int i = 0; i < 7; ++i) EXPECT_NE(Ask(GetRequest{"a"}).outcome, Outcome::kRateLimited);
-  EXPECT_EQ(Ask(GetRequest{"a"}).outcome, Outcome::kRateLimited);
+  EXPECT_EQ(SendRequest(three).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(three).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(three).outcome, Outcome::kRateLimited);
+  for (int i = 0; i < 7; ++i)
+    EXPECT_NE(SendRequest(GetRequest{"a"}).outcome, Outcome::kRateLimited);
+  EXPECT_EQ(SendRequest(GetRequest{"a"}).outcome, Outcome::kRateLimited);
   now += Seconds(1);
-  EXPECT_EQ(Ask(three).outcome, Outcome::kOk);
+  EXPECT_EQ(SendRequest(three).outcome, Outcome::kOk);
 }
 
-TEST_F(Told, ARangeIsCutAtItsLimitsAndGoesOn) {
+TEST_F(StateMachineTest, ListIsSplitAtItsLimitsAndContinues) {
   for (int i = 0; i < 300; ++i) {
-    Ask(Put("r/" + std::to_string(1000 + i), std::string(4000, '1')));
+    SendRequest(Put("r/" + std::to_string(1000 + i), std::string(4000, '1')));
   }
   size_t seen = 0;
   std::string after;
   for (int page = 0; page < 5; ++page) {
-    const Response a = Ask(ListRequest{"r/", after, 200});
+    const Response a = SendRequest(ListRequest{"r/", after, 200});
     seen += a.entries.size();
     EXPECT_LE(a.entries.size(), 129u);  // 512 KiB
     if (!a.has_more) break;
@@ -339,7 +342,7 @@
   EXPECT_EQ(seen, 300u);
 }
 
-TEST(StoreWire, RefusesWhatIsMalformed) {
+TEST(StoreProtocol, RejectsMalformedRequests) {
   const auto status = [](const char* method, const char* target, const char* body) {
     return wire::ParseStoreCall(method, target, body).status;
   };
