--- a/src/replication/core/replica.h
+++ b/src/replication/core/replica.h
@@ -1,15 +1,16 @@
-// One replica of the state service as a state machine: who leads, which batches are committed, and
-// whether this replica may answer clients. It knows no clock, socket or disk.
+// One replica of the state service as a deterministic state machine: leader election, replication
+// of batches, and whether this replica may respond to clients. It uses no clock, socket or disk
+// itself.
 //
 // The protocol is Raft (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm", 2014) with one batch under way at a time, so that a follower holds the state after
-// some position and needs no log: where its position is not in the leader's chain it takes the
-// leader's whole state. Votes are probed first (Ongaro's thesis, 9.6), and a replica that has heard
-// a leader votes for nobody for a lease (6.4.1), so that a leader may answer reads by itself while
-// a majority has heard it within that time.
+// Algorithm", 2014) with at most one uncommitted batch at a time. A follower therefore stores the
+// state at some position and no log; if its position is not among the leader's recent entries, it
+// installs a snapshot of the leader's state. An election starts with a pre-vote (Ongaro's thesis,
+// 9.6). A replica grants no vote within a lease of the last message from a leader (6.4.1), so a
+// leader may serve reads alone while a majority has received a message from it within that time.
 //
-// One disk write is under way at a time; what comes meanwhile and would need another is dropped,
-// and its sender tries again.
+// At most one disk write is in progress. A message that would need another one is dropped, and its
+// sender retries.
 #pragma once
 
 #include <deque>
@@ -25,16 +26,17 @@
 
 struct Settings {
   std::string self;
-  std::vector<std::string> replicas;  // all of them, this one too; an odd number
+  std::vector<std::string> replicas;  // all replicas including this one; an odd number
   Micros heartbeat = Millis(150);
-  // So long a follower promises its vote to nobody else. Elections begin one to two leases after
-  // the leader was last heard.
+  // For this long after a leader's message a follower grants no vote. The election timeout is one
+  // to two leases.
   Micros lease = Millis(1000);
-  // A replica that came without its disk counts again no sooner: votes of its last life are over.
+  // A replica that started with an empty disk becomes a member no sooner than this after its start,
+  // when elections in which it may have voted before it lost its disk are over.
   Micros rejoin_after = Seconds(10);
 };
 
-// What the disk is to do; all of it durable, in one write, before OnStored.
+// Disk writes. Each is one atomic write, durable before OnStored is called.
 struct StoreVote {
   Vote vote;
   bool member = false;
@@ -53,124 +55,127 @@
 struct Effects {
   std::vector<std::pair<std::string, Message>> send;
   std::optional<Write> write;
-  // The leader's state is wanted, for OnImage: the disk's, behind all writes so far.
+  // Requests OnImage with the state on disk, read after all writes so far.
   bool load_image = false;
   std::vector<Position> committed;
 };
 
 class Replica {
  public:
-  enum class Role { kFollower, kProbing, kCandidate, kLeader };
+  enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
 
   Replica(Settings settings, Stored stored, uint64_t seed, Micros now);
 
-  // Inputs. `now` never goes back.
+  // Inputs. `now` never decreases.
   void Tick(Micros now);
   void OnMessage(Micros now, const Message& message);
-  // The write that was asked for last is durable; `ok` false: it surely is not, and never will be.
+  // Completes the write in progress. `ok` false: it is not durable and never will be.
   void OnStored(Micros now, bool ok);
-  // The leader's encoded state at a position.
+  // The encoded state that Effects::load_image requested, and its position.
   void OnImage(Micros now, Position position, std::string bytes);
-  // The next batch of the leader: only while CanPropose. Its position comes back as committed, or
-  // this replica stops leading.
+  // Appends the leader's next batch; only while CanPropose. Either its position is reported in
+  // Effects::committed or this replica stops leading.
   Position Propose(Micros now, store::Batch batch);
 
-  bool CanPropose() const { return ready() && !pending_ && !writing_; }
-  // Leads, and everything that was ever committed is in its state.
+  bool CanPropose() const { return ready() && !pending_ && !write_in_progress_; }
+  // Leads, and has committed an entry of its term: its state contains all committed batches.
   bool ready() const { return role_ == Role::kLeader && ready_; }
-  // Nobody else can lead now: an answer that leaves is not older than any other replica's.
+  // Holds the leader lease: no other replica can lead now, so responses sent now are not stale.
   bool MayServe(Micros now) const;
   Micros NextDeadline() const;
-  Effects Take() { return std::exchange(out_, Effects{}); }
+  Effects Take() { return std::exchange(effects_, Effects{}); }
 
   Role role() const { return role_; }
   uint64_t term() const { return term_; }
   const Stored& stored() const { return stored_; }
-  const std::string& leader() const { return leader_; }  // as far as known; empty: nobody
-  // All that it believes, in one line, for logs and for explorations.
+  const std::string& leader() const { return leader_; }  // empty: unknown
+  // The complete internal state in one line, for logs and state exploration.
   std::string Describe(Micros now) const;
-  // Replicas that have answered within a lease, this one too; for operators.
+  // The number of replicas that have responded within a lease, including this one; for operators.
   size_t reachable(Micros now) const;
 
  private:
   struct Peer {
-    Position position;   // durable there, as far as it said
-    bool known = false;  // it has said so in this term
+    Position position;            // durable there, as last reported
+    bool position_known = false;  // `position` was reported in this term
     bool member = false;
-    bool blank = false;  // its disk was empty: whatever its position, it needs the state
-    Micros heard_sent{-1000000000};  // the sending of the newest message that it has answered
-    Micros entry_sent{-1000000000};  // when it was last sent more than a heartbeat
-    bool wants_image = false;
-    uint64_t image_offset = 0;
+    bool empty_disk = false;  // its disk is new: it needs a snapshot whatever its position
+    // When the newest message that it has responded to was sent.
+    Micros last_acknowledged_sent{-1000000000};
+    Micros last_entry_sent{-1000000000};  // when an entry or a snapshot chunk was last sent
+    bool needs_snapshot = false;
+    uint64_t snapshot_offset = 0;
   };
 
   size_t Majority() const { return settings_.replicas.size() / 2 + 1; }
   void Send(const std::string& to, auto body) {
-    out_.send.emplace_back(to, Message{settings_.self, stored_.history, std::move(body)});
+    effects_.send.emplace_back(to, Message{settings_.self, stored_.history, std::move(body)});
   }
-  void Ask(Write write) {
-    writing_ = write;
-    if (auto* image = std::get_if<StoreImage>(&*writing_)) image->bytes.clear();
-    out_.write = std::move(write);
+  void StartWrite(Write write) {
+    write_in_progress_ = write;
+    if (auto* image = std::get_if<StoreImage>(&*write_in_progress_)) image->bytes.clear();
+    effects_.write = std::move(write);
   }
   // Elections.
-  void Probe(Micros now);
-  void Stand(Micros now);
-  void Win(Micros now);
-  void Follow(Micros now, uint64_t term, const std::string& leader);
+  void StartPreVote(Micros now);
+  void StartElection(Micros now);
+  void BecomeLeader(Micros now);
+  void FollowLeader(Micros now, uint64_t term, const std::string& leader);
   void StepDown(Micros now, uint64_t term);
-  void Rest(Micros now);
-  bool WouldVote(Micros now, const std::string& from, const VoteRequest& request) const;
+  void ResetElectionTimer(Micros now);
+  bool WouldGrantVote(Micros now, const std::string& from, const VoteRequest& request) const;
   void OnVoteRequest(Micros now, const std::string& from, const VoteRequest& request);
-  void OnVoteAnswer(Micros now, const std::string& from, const VoteAnswer& answer);
+  void OnVoteResponse(Micros now, const std::string& from, const VoteAnswer& response);
   // Followers.
-  bool Accept(Micros now, const std::string& from, uint64_t term, const std::string& history);
+  bool AcceptLeader(Micros now, const std::string& from, uint64_t term, const std::string& history);
   void OnAppend(Micros now, const Message& message, const Append& append);
-  void OnImagePart(Micros now, const Message& message, const ImagePart& part);
-  void Answer(const std::string& to, Micros sent);
-  void JoinIfDue(Micros now);
+  void OnSnapshotChunk(Micros now, const Message& message, const ImagePart& chunk);
+  void SendAppendResponse(const std::string& to, Micros sent);
+  void BecomeMemberIfReady(Micros now);
   // The leader.
-  void Begin(Micros now, Entry entry);
-  void Heartbeat(Micros now);
-  void OnAppendAnswer(Micros now, const Message& message, const AppendAnswer& answer);
-  void Advance(Micros now, const std::string& name, Peer* peer);
-  void SendImagePart(Micros now, const std::string& name, Peer* peer);
-  void CommitIfDue();
-  void Keep(Entry entry);
-  void Forget();
+  void AppendEntry(Micros now, Entry entry);
+  void SendHeartbeats(Micros now);
+  void OnAppendResponse(Micros now, const Message& message, const AppendAnswer& response);
+  void Replicate(Micros now, const std::string& name, Peer* peer);
+  void SendSnapshotChunk(Micros now, const std::string& name, Peer* peer);
+  void CommitIfMajority();
+  void CacheEntry(Entry entry);
+  void ClearEntryCache();
 
   Settings settings_;
   Stored stored_;
-  uint64_t random_;
+  uint64_t random_state_;
   Role role_ = Role::kFollower;
   uint64_t term_ = 0;
   std::string leader_;
-  Micros started_, heard_{-1000000000};  // heard: a leader of this term
-  Micros election_at_;                   // a follower stands then
-  std::map<std::string, bool> votes_;    // of this probe or candidacy
-  std::optional<Write> writing_;
-  struct Answering {
+  Micros started_at_;
+  Micros leader_heard_at_{-1000000000};  // the last message of this term's leader
+  Micros election_at_;                   // when a follower starts an election
+  std::map<std::string, bool> votes_;    // of this pre-vote or election
+  std::optional<Write> write_in_progress_;
+  struct PendingResponse {
     std::string to;
     Micros sent;
   };
-  std::optional<Answering> answering_;     // once the write under way is durable
-  std::optional<std::string> voting_for_;  // the same, for a vote
-  std::string image_;                      // being received, of this position
-  Position image_position_;
-  // While it leads.
+  // Sent when the write in progress is durable.
+  std::optional<PendingResponse> pending_append_response_;
+  std::optional<std::string> pending_vote_candidate_;  // candidate of the vote being written
+  std::string received_snapshot_;                      // the snapshot being received
+  Position received_snapshot_position_;
+  // Used only while leading.
   std::map<std::string, Peer> peers_;
-  std::optional<Position> pending_;  // proposed and not committed
-  bool ready_ = false, own_durable_ = false;
-  Position last_;             // of its chain
-  std::deque<Entry> recent_;  // the end of the chain, for followers that lag a little
-  size_t recent_bytes_ = 0;
+  std::optional<Position> pending_;  // proposed and not yet committed
+  bool ready_ = false, pending_durable_ = false;
+  Position last_position_;            // of the last entry appended
+  std::deque<Entry> recent_entries_;  // the newest entries, for followers that lag slightly
+  size_t recent_entries_bytes_ = 0;
   Micros heartbeat_at_;
-  Micros majority_at_;  // a majority had heard it then
-  Micros proposed_at_;  // when `pending_` went to its disk and to the others
-  bool loading_ = false;
-  std::string sending_;  // the encoded state, while a peer wants it
-  Position sending_position_;
-  Effects out_;
+  Micros majority_heard_at_;  // when it last held the leader lease
+  Micros proposed_at_;        // when `pending_` was appended
+  bool snapshot_loading_ = false;
+  std::string snapshot_;  // the snapshot, while a peer needs it
+  Position snapshot_position_;
+  Effects effects_;
 };
 
 }  // namespace badgershore::replication
--- a/src/store/service/disk_recovery.cpp
+++ b/src/store/service/disk_recovery.cpp
@@ -11,23 +11,23 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     stopped_ = true;
   }
-  changed_.notify_all();
+  wakeup_.notify_all();
 }
 
-WriteOutcome DiskRecovery::Record(WriteOutcome written) {
-  if (written == WriteOutcome::kDurable) OnSuccess();
-  if (written == WriteOutcome::kAbsent) OnFailure(engine_->last_failure());
-  return written;
+WriteOutcome DiskRecovery::LogOutcome(WriteOutcome outcome) {
+  if (outcome == WriteOutcome::kDurable) OnSuccess();
+  if (outcome == WriteOutcome::kAbsent) OnFailure(engine_->last_failure());
+  return outcome;
 }
 
 WriteOutcome DiskRecovery::ResolveUnknownWrite() {
-  WriteOutcome written = WriteOutcome::kUnknown;
+  WriteOutcome outcome = WriteOutcome::kUnknown;
   Micros delay = OnFailure(engine_->last_failure());
-  while (written == WriteOutcome::kUnknown && Wait(delay)) {
-    written = engine_->ResolveUnknownWrite();
-    if (written == WriteOutcome::kUnknown) delay = OnFailure(engine_->last_failure());
+  while (outcome == WriteOutcome::kUnknown && Wait(delay)) {
+    outcome = engine_->ResolveUnknownWrite();
+    if (outcome == WriteOutcome::kUnknown) delay = OnFailure(engine_->last_failure());
   }
-  return Record(written);
+  return LogOutcome(outcome);
 }
 
 bool DiskRecovery::Read(const std::function<void()>& read) {
@@ -50,7 +50,8 @@
   const DiskRetry::Decision decision = retry_.OnFailure(io::Loop::Now());
   if (decision.log) {
     mailbox_->Post([reason, failing_for = decision.failing_for] {
-      spdlog::error("the disk fails, for {:.1f} s now: {}", failing_for.ToSeconds(), reason);
+      spdlog::error("disk operations have been failing for {:.1f} s: {}", failing_for.ToSeconds(),
+                    reason);
     });
   }
   return decision.delay;
@@ -60,14 +61,15 @@
   const std::optional<Micros> failed_for = retry_.OnSuccess(io::Loop::Now());
   if (!failed_for) return;
   mailbox_->Post([failed_for = *failed_for] {
-    spdlog::info("the disk works again after {:.1f} s", failed_for.ToSeconds());
+    spdlog::info("disk operations succeed again after {:.1f} s of failures",
+                 failed_for.ToSeconds());
   });
 }
 
 bool DiskRecovery::Wait(Micros delay) {
   std::unique_lock<std::mutex> lock(mutex_);
-  const auto span = std::chrono::microseconds(delay.count);
-  return !changed_.wait_for(lock, span, [&] { return stopped_; });
+  const auto timeout = std::chrono::microseconds(delay.count);
+  return !wakeup_.wait_for(lock, timeout, [&] { return stopped_; });
 }
 
 }  // namespace badgershore::store
--- a/tests/failing_disk.h
+++ b/tests/failing_disk.h
@@ -1,4 +1,4 @@
-// A disk for programs that a test starts, which fails when the test says so: see failing_disk.cpp.
+// Injects disk faults into programs that a test starts, by preloading failing_disk.cpp.
 #pragma once
 
 #include <cstdlib>
@@ -11,39 +11,41 @@
 
 class FailingDisk {
  public:
-  // Changes to files below `directory` can fail; `control` is a file of the test's.
+  // Faults affect files below `directory`; `control` is the file that passes the current fault to
+  // the programs.
   FailingDisk(std::string directory, std::string control)
-      : directory_(std::move(directory)), control_(std::move(control)) {}
-  ~FailingDisk() { End(); }
+      : directory_(std::move(directory)), control_file_(std::move(control)) {}
+  ~FailingDisk() { DisablePreload(); }
   FailingDisk(const FailingDisk&) = delete;
   FailingDisk& operator=(const FailingDisk&) = delete;
 
-  // Programs started between Begin and End have this disk.
-  void Begin() {
+  // Programs started between Begin and End are subject to the faults.
+  void EnablePreload() {
     setenv("FAILING_DISK_DIRECTORY", directory_.c_str(), 1);
-    setenv("FAILING_DISK_CONTROL", control_.c_str(), 1);
+    setenv("FAILING_DISK_CONTROL", control_file_.c_str(), 1);
     setenv("LD_PRELOAD", BADGERSHORE_FAILING_DISK, 1);
     const char* options = std::getenv("ASAN_OPTIONS");
     asan_options_ = options ? options : "";
     setenv("ASAN_OPTIONS", (asan_options_ + ":verify_asan_link_order=0").c_str(), 1);
-    begun_ = true;
+    preload_enabled_ = true;
   }
-  void End() {
-    if (!std::exchange(begun_, false)) return;
+  void DisablePreload() {
+    if (!std::exchange(preload_enabled_, false)) return;
     unsetenv("LD_PRELOAD");
     setenv("ASAN_OPTIONS", asan_options_.c_str(), 1);
   }
-  // Every change fails with `error` (errno) from now on; or only those by `call`, as "fsync".
+  // From now on every operation that changes files fails with `error` (errno), or only the given
+  // system call, such as "fsync".
   void Fail(int error, const std::string& call = "") {
-    const std::string beside = control_ + ".new";
-    std::ofstream(beside) << error << ' ' << call;
-    std::filesystem::rename(beside, control_);
+    const std::string temporary = control_file_ + ".new";
+    std::ofstream(temporary) << error << ' ' << call;
+    std::filesystem::rename(temporary, control_file_);
   }
-  void Heal() { std::filesystem::remove(control_); }
+  void ClearFault() { std::filesystem::remove(control_file_); }
 
  private:
-  std::string directory_, control_, asan_options_;
-  bool begun_ = false;
+  std::string directory_, control_file_, asan_options_;
+  bool preload_enabled_ = false;
 };
 
 }  // namespace badgershore
--- a/tests/store_disk_failure_test.cpp
+++ b/tests/store_disk_failure_test.cpp
@@ -1,4 +1,4 @@
-// The state service's disk while it fails: who recovers, what is there afterwards, what is retried.
+// The storage engine on a failing disk: recovery, the data left afterwards, and retries.
 #include <gtest/gtest.h>
 #include <rocksdb/db.h>
 #include <rocksdb/env.h>
@@ -23,10 +23,10 @@
 namespace fs = std::filesystem;
 
 constexpr auto kRecoveryDeadline = std::chrono::seconds(30);
-constexpr int kNotes = 3;
-constexpr int kMostRetries = 200;
+constexpr int kMetadataWrites = 3;
+constexpr int kMaxRetries = 200;
 
-// Sees the storage library recover from a failed write on a thread of its own.
+// Observes RocksDB's automatic recovery from a failed write, which runs on a background thread.
 class RecoveryObserver : public rocksdb::EventListener {
  public:
   void OnErrorRecoveryBegin(rocksdb::BackgroundErrorReason /*reason*/, rocksdb::Status /*error*/,
@@ -81,9 +81,9 @@
 
 bool IsLog(const std::string& path) { return path.ends_with(".log"); }
 
-class FailingDisk : public testing::Test {
+class FailingDiskTest : public testing::Test {
  protected:
-  FailingDisk() {
+  FailingDiskTest() {
     char name[] = "/tmp/badgershore-failing-disk-XXXXXX";
     root_ = mkdtemp(name);
     dir_ = root_ + "/state";
@@ -91,7 +91,7 @@
     options_.reserve_bytes = 0;
     options_.env = env_.get();
   }
-  ~FailingDisk() override { fs::remove_all(root_); }
+  ~FailingDiskTest() override { fs::remove_all(root_); }
 
   void WriteBatches(uint64_t first, uint64_t last) {
     Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
@@ -107,9 +107,9 @@
     std::sort(logs.begin(), logs.end());
     return logs;
   }
-  // Writes an owner's note through the library itself, fails the append of the next one, and lets
-  // the library begin a newer log where it recovers by itself, which fails at the table's append.
-  void FailAnAppend(const rocksdb::Options& as, DiskFault fault) {
+  // Writes owner metadata directly with RocksDB and fails the next append. If RocksDB recovers
+  // automatically, it creates a newer log and then fails to append to the table.
+  void FailAppend(const rocksdb::Options& as, DiskFault fault) {
     rocksdb::Options options = as;
     const auto observer = std::make_shared<RecoveryObserver>();
     options.listeners.push_back(observer);
@@ -117,15 +117,15 @@
       if (operation == DiskOperation::kCreate && IsLog(path)) observer->OnLogCreated();
       return operation == DiskOperation::kAppend;
     };
-    WriteNoteAndFailNext(options, fault, appends);
+    WriteMetadataAndFailNext(options, fault, appends);
     recovery_begun_ = observer->begun();
     if (recovery_begun_) {
       ASSERT_TRUE(observer->WaitForNewerLog());
     }
     CloseDatabase();
   }
-  // The same, but the library's recovery succeeds except for the torn log's deletion.
-  void FailAnAppendAndADeletion(const rocksdb::Options& as) {
+  // The same, but RocksDB's recovery succeeds except for deleting the torn log.
+  void FailAppendAndLogDeletion(const rocksdb::Options& as) {
     rocksdb::Options options = as;
     const auto observer = std::make_shared<RecoveryObserver>();
     options.listeners.push_back(observer);
@@ -133,18 +133,18 @@
       return IsLog(path) &&
              (operation == DiskOperation::kAppend || operation == DiskOperation::kDelete);
     };
-    WriteNoteAndFailNext(options, DiskFault::kNoSpace, logs);
+    WriteMetadataAndFailNext(options, DiskFault::kNoSpace, logs);
     ASSERT_TRUE(observer->WaitForEnd());
     CloseDatabase();
   }
-  void WriteNoteAndFailNext(const rocksdb::Options& options, DiskFault fault,
-                            FaultPlan::Condition which) {
+  void WriteMetadataAndFailNext(const rocksdb::Options& options, DiskFault fault,
+                                FaultPlan::Condition which) {
     rocksdb::DB* database = nullptr;
     ASSERT_TRUE(rocksdb::DB::Open(options, dir_, &database).ok());
     database_.reset(database);
     rocksdb::WriteOptions sync;
     sync.sync = true;
-    for (int i = 0; i < kNotes; ++i) {
+    for (int i = 0; i < kMetadataWrites; ++i) {
       ASSERT_TRUE(database_->Put(sync, kOwnerMetadataKey, "note").ok());
     }
     plan_.Fail(fault, 1, 1000, std::move(which));
@@ -157,15 +157,15 @@
   rocksdb::Options ServiceOptions() const {
     return DatabaseOptions(DatabaseAccess::kReadWrite, env_.get());
   }
-  // As the service opened its database while the library still recovered by itself.
+  // The options of earlier versions, which left RocksDB's automatic recovery enabled.
   rocksdb::Options OptionsWithAutomaticRecovery() const {
     rocksdb::Options options = ServiceOptions();
     options.listeners.clear();
     options.max_bgerror_resume_count = rocksdb::Options().max_bgerror_resume_count;
     return options;
   }
-  // What opening says; empty where it succeeds.
-  std::string Refusal() const {
+  // The error of opening the database; empty on success.
+  std::string OpenError() const {
     try {
       Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
     } catch (const DataDamagedError& error) {
@@ -173,7 +173,7 @@
     }
     return "";
   }
-  void ExpectTheFirstFiveAndTheNote() {
+  void ExpectFirstFiveBatchesAndOwnerMetadata() {
     Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
     EXPECT_EQ(engine.Load(), ImageAfter(5));
     EXPECT_EQ(engine.LoadOwnerMetadata(), "note");
@@ -187,119 +187,123 @@
   EngineOptions options_;
 };
 
-// Guards against: the library beginning a newer log beside the torn one while the engine reopens,
-// after which the directory never opened again.
-TEST_F(FailingDisk, TheLibraryRecoversFromNoFailedWriteByItself) {
+// Guards against RocksDB's automatic recovery, which creates a newer log next to the torn one while
+// the engine reopens the database; the directory could not be opened any more afterwards.
+TEST_F(FailingDiskTest, AutomaticRecoveryIsDisabled) {
   for (const DiskFault fault :
        {DiskFault::kNoSpace, DiskFault::kRetryableIoError, DiskFault::kIoError}) {
     fs::remove_all(dir_);
     WriteBatches(1, 5);
-    FailAnAppend(ServiceOptions(), fault);
+    FailAppend(ServiceOptions(), fault);
     EXPECT_FALSE(recovery_begun_);
     EXPECT_EQ(Logs().size(), 1u);
-    ExpectTheFirstFiveAndTheNote();
+    ExpectFirstFiveBatchesAndOwnerMetadata();
   }
 }
 
-// Guards against: a directory that stays refused though all that was acknowledged is in it.
-TEST_F(FailingDisk, ATornLogBesideAnEmptyNewerOneOpens) {
+// Guards against refusing a directory that contains all acknowledged writes.
+TEST_F(FailingDiskTest, OpensATornLogFollowedByAnEmptyLog) {
   WriteBatches(1, 5);
-  FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
+  FailAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   EXPECT_EQ(fs::file_size(Logs()[1]), 0u);
-  ExpectTheFirstFiveAndTheNote();
+  ExpectFirstFiveBatchesAndOwnerMetadata();
   WriteBatches(6, 7);
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   EXPECT_EQ(engine.Load(), ImageAfter(7));
 }
 
-// Guards against: the same where the library had written all of the torn log to a table already.
-TEST_F(FailingDisk, ATornLogThatTheManifestDoesNotNeedIsPassedOver) {
+// Guards against the same after RocksDB has flushed all of the torn log to a table.
+TEST_F(FailingDiskTest, IgnoresATornLogThatTheManifestDoesNotNeed) {
   WriteBatches(1, 5);
-  FailAnAppendAndADeletion(OptionsWithAutomaticRecovery());
+  FailAppendAndLogDeletion(OptionsWithAutomaticRecovery());
   ASSERT_EQ(Logs().size(), 2u);
-  ExpectTheFirstFiveAndTheNote();
+  ExpectFirstFiveBatchesAndOwnerMetadata();
   WriteBatches(6, 7);
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   EXPECT_EQ(engine.Load(), ImageAfter(7));
 }
 
-// Guards against: damage to acknowledged writes taken for the torn end of a failed append.
-TEST_F(FailingDisk, AFlippedBitInATornLogBesideAnEmptyNewerOneIsRefused) {
+// Guards against corruption of acknowledged writes that is taken for the torn write of a failed
+// append.
+TEST_F(FailingDiskTest, DetectsABitFlipInATornLogFollowedByAnEmptyLog) {
   WriteBatches(1, 5);
-  FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
+  FailAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   const std::string log = Logs()[0], bytes = ReadBytes(log);
-  const size_t acknowledged = CheckLog(bytes).good_bytes;
+  const size_t acknowledged = CheckLog(bytes).valid_bytes;
   ASSERT_GT(acknowledged, 0u);
   ASSERT_LT(acknowledged, bytes.size());
   for (size_t at = 0; at < acknowledged; ++at) {
     for (int bit = 0; bit < 8; ++bit) {
-      std::string damaged = bytes;
-      damaged[at] = static_cast<char>(damaged[at] ^ 1 << bit);
-      WriteBytes(log, damaged);
-      EXPECT_EQ(Refusal().rfind(log + ": byte ", 0), 0u) << at << " " << bit << " " << Refusal();
+      std::string corrupted = bytes;
+      corrupted[at] = static_cast<char>(corrupted[at] ^ 1 << bit);
+      WriteBytes(log, corrupted);
+      EXPECT_EQ(OpenError().rfind(log + ": byte ", 0), 0u)
+          << at << " " << bit << " " << OpenError();
     }
   }
 }
 
-// Guards against: the last acknowledged write cut off as a torn end for one bit in its length.
-TEST_F(FailingDisk, AFlippedBitInTheLengthOfTheLastRecordIsDamage) {
+// Guards against truncating the last acknowledged write as a torn write because of a bit flip in
+// its length.
+TEST_F(FailingDiskTest, BitFlipInTheLastRecordsLengthIsCorruption) {
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
   const std::string bytes = ReadBytes(Logs()[0]);
-  const size_t last_record = CheckLog(bytes.substr(0, bytes.size() - 1)).good_bytes;
+  const size_t last_record = CheckLog(bytes.substr(0, bytes.size() - 1)).valid_bytes;
   constexpr size_t kLengthOffset = 4, kLengthBits = 16;
   for (size_t bit = 0; bit < kLengthBits; ++bit) {
-    std::string damaged = bytes;
-    char& byte = damaged[last_record + kLengthOffset + bit / 8];
+    std::string corrupted = bytes;
+    char& byte = corrupted[last_record + kLengthOffset + bit / 8];
     byte = static_cast<char>(byte ^ 1 << bit % 8);
-    EXPECT_EQ(CheckLog(damaged).state, LogCheck::State::kDamaged) << bit;
+    EXPECT_EQ(CheckLog(corrupted).state, LogCheck::State::kCorrupt) << bit;
   }
 }
 
-// Guards against: `check`, `dump` and `snapshot` that pass over damage to acknowledged writes.
-TEST_F(FailingDisk, AReadOnlyOpeningFindsDamageToo) {
+// Guards against `check`, `dump` and `snapshot` ignoring corruption of acknowledged writes.
+TEST_F(FailingDiskTest, ReadOnlyOpenDetectsCorruption) {
   WriteBatches(1, 5);
   ASSERT_EQ(Logs().size(), 1u);
   const std::string log = Logs()[0], bytes = ReadBytes(log);
   for (size_t at = 0; at < bytes.size(); ++at) {
-    std::string damaged = bytes;
-    damaged[at] = static_cast<char>(damaged[at] ^ 1 << at % 8);
-    WriteBytes(log, damaged);
+    std::string corrupted = bytes;
+    corrupted[at] = static_cast<char>(corrupted[at] ^ 1 << at % 8);
+    WriteBytes(log, corrupted);
     try {
       Engine engine(dir_, Engine::OpenMode::kReadOnly, options_);
       engine.Load();
-      ADD_FAILURE() << "byte " << at << " is passed over";
+      ADD_FAILURE() << "byte " << at << ": corruption was not detected";
     } catch (const DataDamagedError& error) {
       EXPECT_EQ(std::string(error.what()).rfind(log + ": byte ", 0), 0u) << error.what();
     }
   }
 }
 
-// Guards against: acknowledged writes cut off with a torn end that is not the last of all logs.
-TEST_F(FailingDisk, ATornLogBesideANewerOneWithRecordsIsRefused) {
+// Guards against truncating acknowledged writes in a log that is followed by a newer one.
+TEST_F(FailingDiskTest, RefusesATornLogFollowedByALogWithRecords) {
   WriteBatches(1, 5);
-  FailAnAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
+  FailAppend(OptionsWithAutomaticRecovery(), DiskFault::kNoSpace);
   ASSERT_EQ(Logs().size(), 2u);
   const std::string bytes = ReadBytes(Logs()[0]);
-  WriteBytes(Logs()[1], bytes.substr(0, CheckLog(bytes).good_bytes));
-  EXPECT_EQ(Refusal(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).bad_at) +
-                           ": damaged; restore a snapshot");
+  WriteBytes(Logs()[1], bytes.substr(0, CheckLog(bytes).valid_bytes));
+  EXPECT_EQ(OpenError(), Logs()[0] + ": byte " + std::to_string(CheckLog(bytes).invalid_offset) +
+                             ": corrupt; restore a snapshot");
 }
 
-// Writes until it is known what became of the batch.
-WriteOutcome WriteToTheEnd(Engine* engine, const Batch& batch) {
+// Writes and retries until the outcome is known.
+WriteOutcome WriteUntilResolved(Engine* engine, const Batch& batch) {
   WriteOutcome written = engine->Write(batch);
-  for (int i = 0; i < kMostRetries && written == WriteOutcome::kUnknown; ++i) {
+  for (int i = 0; i < kMaxRetries && written == WriteOutcome::kUnknown; ++i) {
     written = engine->ResolveUnknownWrite();
   }
   return written;
 }
 
-// Guards against: an acknowledged write lost, an outcome that the next start contradicts and a
-// disk that works again and is not used, whichever change to the disk fails, and twice in a row.
-TEST_F(FailingDisk, AnyChangeMayFailAndNothingIsLost) {
+// Guards against the loss of an acknowledged write, an outcome that is wrong after a restart, and
+// an engine that does not use a disk that works again. Fails each disk operation in turn, then
+// again after the first successful write.
+TEST_F(FailingDiskTest, FailureOfAnyOperationLosesNoAcknowledgedWrite) {
   for (const DiskFault fault : {DiskFault::kNoSpace, DiskFault::kIoError}) {
     for (const int count : {1, 2, 5, 40}) {
       for (int first = 1; first <= 24; ++first) {
@@ -311,8 +315,8 @@
         {
           Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
           plan_.Fail(fault, first, count);
-          for (int tries = 0; tries < kMostRetries && last < 12; ++tries) {
-            const WriteOutcome written = WriteToTheEnd(&engine, NumberedBatch(last + 1));
+          for (int tries = 0; tries < kMaxRetries && last < 12; ++tries) {
+            const WriteOutcome written = WriteUntilResolved(&engine, NumberedBatch(last + 1));
             ASSERT_NE(written, WriteOutcome::kUnknown);
             if (written == WriteOutcome::kDurable) ++last;
             if (plan_.failures() > 0 && written == WriteOutcome::kDurable && !again) {
@@ -330,8 +334,8 @@
   }
 }
 
-// Guards against: a failure while the database is opened that leaves what does not open again.
-TEST_F(FailingDisk, OpeningMayFailAtAnyChange) {
+// Guards against a failure during opening that makes the database impossible to open later.
+TEST_F(FailingDiskTest, OpensAfterAFailureOfAnyOperation) {
   for (const DiskFault fault : {DiskFault::kNoSpace, DiskFault::kIoError}) {
     for (const int count : {1, 2, 5, 40}) {
       for (int first = 1; first <= 24; ++first) {
@@ -341,7 +345,7 @@
         WriteBatches(1, 5);
         plan_.Fail(fault, first, count);
         bool opened = false;
-        for (int tries = 0; tries < kMostRetries && !opened; ++tries) {
+        for (int tries = 0; tries < kMaxRetries && !opened; ++tries) {
           try {
             Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
             opened = true;
@@ -358,8 +362,8 @@
   }
 }
 
-// Guards against: the same while a table is written beside the service's writes.
-TEST_F(FailingDisk, ATablesWriteMayFail) {
+// Guards against the same when a table is flushed while the service writes.
+TEST_F(FailingDiskTest, FailureOfATableFlushLosesNoAcknowledgedWrite) {
   constexpr size_t kValueBytes = 1 << 20;
   constexpr uint64_t kBatches = 24;  // more than a write buffer
   for (const int count : {1, 40}) {
@@ -369,8 +373,9 @@
       plan_.Fail(DiskFault::kNoSpace, 1, count,
                  [](DiskOperation, const std::string& path) { return path.ends_with(".sst"); });
       uint64_t last = 0;
-      for (int tries = 0; tries < kMostRetries && last < kBatches; ++tries) {
-        const WriteOutcome written = WriteToTheEnd(&engine, NumberedBatch(last + 1, kValueBytes));
+      for (int tries = 0; tries < kMaxRetries && last < kBatches; ++tries) {
+        const WriteOutcome written =
+            WriteUntilResolved(&engine, NumberedBatch(last + 1, kValueBytes));
         ASSERT_NE(written, WriteOutcome::kUnknown);
         if (written == WriteOutcome::kDurable) ++last;
       }
@@ -383,14 +388,14 @@
   }
 }
 
-// Guards against: one batch's outcome told for the next, which was never written.
-TEST_F(FailingDisk, NothingIsWrittenBeforeAnUnknownWriteIsResolved) {
+// Guards against reporting the outcome of one batch for the next one, which was never written.
+TEST_F(FailingDiskTest, RefusesWritesUntilAnUnknownWriteIsResolved) {
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   for (uint64_t number = 1; number <= 3; ++number) {
     ASSERT_EQ(engine.Write(NumberedBatch(number)), WriteOutcome::kDurable);
   }
-  constexpr int kTheSync = 2;  // the append before it succeeds
-  plan_.Fail(DiskFault::kIoError, kTheSync, 1000);
+  constexpr int kSyncOperation = 2;  // the append before it succeeds
+  plan_.Fail(DiskFault::kIoError, kSyncOperation, 1000);
   ASSERT_EQ(engine.Write(NumberedBatch(4)), WriteOutcome::kUnknown);
   EXPECT_EQ(engine.Write(NumberedBatch(5)), WriteOutcome::kAbsent);
   plan_.Heal();
@@ -398,8 +403,8 @@
   EXPECT_EQ(engine.Load(), ImageAfter(4));
 }
 
-// Guards against: a service that goes on with less than it has acknowledged.
-TEST_F(FailingDisk, AcknowledgedWritesThatAreGoneAreDamage) {
+// Guards against a service that continues after losing acknowledged writes.
+TEST_F(FailingDiskTest, MissingAcknowledgedWritesAreCorruption) {
   Engine engine(dir_, Engine::OpenMode::kReadWrite, options_);
   for (uint64_t number = 1; number <= 5; ++number) {
     ASSERT_EQ(engine.Write(NumberedBatch(number)), WriteOutcome::kDurable);
@@ -410,14 +415,14 @@
   plan_.Heal();
   try {
     engine.ResolveUnknownWrite();
-    FAIL() << "it goes on";
+    FAIL() << "no error was thrown";
   } catch (const DataDamagedError& error) {
     EXPECT_EQ(error.what(), dir_ + ": 5 acknowledged writes are missing; restore a snapshot");
   }
 }
 
-// Guards against: a failing disk that is asked without a pause, rarely, or without a word.
-TEST(DiskRetry, WaitsLongerAndIsSaidAtIntervals) {
+// Guards against retrying a failing disk without a delay, too rarely, or without logging.
+TEST(DiskRetry, BacksOffAndLogsAtIntervals) {
   DiskRetry retry;
   EXPECT_FALSE(retry.OnSuccess(Seconds(1)));
   Micros now = Seconds(10);
