--- a/src/core/leader/quota_shares.cpp
+++ b/src/core/leader/quota_shares.cpp
@@ -260,7 +260,7 @@
 std::string QuotaShares::Summary() const {
   if (is_single_cell()) return "";
   return ledger_->restricted_to_floor_reason().empty()
-             ? "; unreachable cells " + std::to_string(ledger_->UnheardCells().size())
+             ? "; cells without a response " + std::to_string(ledger_->UnheardCells().size())
              : "; quota restricted to the floor share";
 }
 
--- a/src/core/leader/quota_shares.h
+++ b/src/core/leader/quota_shares.h
@@ -31,8 +31,8 @@
   void OnRecordsLoaded(Micros now);
   void Tick(Micros now);
   void OnMessage(Micros now, const limits::CellMessage& message);
-  // For the log: the unreachable cells, or that the quota is restricted. Empty in a single-cell
-  // deployment.
+  // For the log: how many cells have not responded, or that the quota is restricted. Empty in a
+  // single-cell deployment.
   std::string Summary() const;
   // Null in a single-cell deployment.
   const limits::QuotaLedger* ledger() const { return ledger_.get(); }
