--- a/src/adapters/controller_server.cpp
+++ b/src/adapters/controller_server.cpp
@@ -15,13 +15,13 @@
 constexpr Micros kCommandTimeout = Seconds(3);
 constexpr Micros kJobRequestTimeout = Seconds(4);
 constexpr Micros kHeartbeatTimeout = Seconds(3);
-constexpr http::Limits kWorkerLimits{8192, 16384, 1024 * 1024};
+constexpr http::Limits kAgentLimits{8192, 16384, 1024 * 1024};
 
 const std::string kJobsPath = "/work";
 const std::string kJobPrefix = "/work/";
 const std::string kCancelSuffix = "/withdraw";
 
-http::ServerAnswer ErrorAnswer(int status, const char* error) {
+http::ServerAnswer ErrorResponse(int status, const char* error) {
   return {status, std::string("{\"error\":\"") + error + "\"}", status == 503 ? 1 : 0};
 }
 
@@ -111,7 +111,7 @@
 }
 
 void ControllerServer::LogUserLatency() {
-  stats::Durations& waits = metrics_.user_waits;
+  stats::Durations& waits = metrics_.user_response_times;
   if (waits.count() == 0) return;
   spdlog::info("{} user requests answered: median {:.1f} ms, 95th percentile {:.1f} ms",
                waits.count(), waits.Quantile(0.5) * 1000, waits.Quantile(0.95) * 1000);
@@ -187,7 +187,7 @@
 io::Task<void> ControllerServer::SendCommandRequest(CommandRequest request) {
   ++metrics_.direct_calls;
   const RequestId id = request.id;
-  http::Client client(loop_, request.endpoint, 0, kWorkerLimits);
+  http::Client client(loop_, request.endpoint, 0, kAgentLimits);
   std::string body = wire::FormatDirect(request);
   http::ClientAnswer answer =
       co_await client.Request("POST", "/do", std::move(body), kCommandTimeout);
@@ -203,18 +203,18 @@
 io::Task<http::ServerAnswer> ControllerServer::Handle(http::Message request) {
   std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/checkin") {
-    if (request.method != "POST") co_return ErrorAnswer(405, "POST only");
+    if (request.method != "POST") co_return ErrorResponse(405, "POST only");
     co_return co_await HandleHeartbeat(std::move(request));
   }
   if (path == "/healthz") {
     if (core_.IsHealthy(io::Loop::Now())) co_return http::ServerAnswer{200, "{\"ok\":true}", 0};
-    co_return ErrorAnswer(503, "not ready");
+    co_return ErrorResponse(503, "not ready");
   }
   if (path == "/metrics") co_return HandleMetrics();
   if (path == kJobsPath || path.starts_with(kJobPrefix)) {
     co_return co_await HandleJobRequest(std::move(request), std::move(path));
   }
-  co_return ErrorAnswer(404, "no such path");
+  co_return ErrorResponse(404, "no such path");
 }
 
 http::ServerAnswer ControllerServer::HandleMetrics() {
@@ -232,11 +232,11 @@
   const bool cancel = id.size() > kCancelSuffix.size() && id.ends_with(kCancelSuffix);
   if (cancel) id.resize(id.size() - kCancelSuffix.size());
   if (id.empty() || cancel) {
-    if (request.method != "POST") co_return ErrorAnswer(405, "POST only");
+    if (request.method != "POST") co_return ErrorResponse(405, "POST only");
   } else if (request.method != "GET") {
-    co_return ErrorAnswer(405, "GET only");
+    co_return ErrorResponse(405, "GET only");
   }
-  if (!id.empty() && !wire::ValidJobId(id)) co_return ErrorAnswer(404, "no such job");
+  if (!id.empty() && !wire::ValidJobId(id)) co_return ErrorResponse(404, "no such job");
   pending_job_requests_[request_id] = &slot;
   const Micros now = io::Loop::Now();
   if (id.empty()) {
@@ -249,16 +249,16 @@
   ApplyEffects();
   std::optional<ApiResponse> response = co_await slot.Wait(now + kJobRequestTimeout);
   pending_job_requests_.erase(request_id);
-  metrics_.user_waits.Add((io::Loop::Now() - now).ToSeconds());
+  metrics_.user_response_times.Add((io::Loop::Now() - now).ToSeconds());
   ++metrics_.user_requests;
-  if (!response) co_return ErrorAnswer(503, "no answer in time");
+  if (!response) co_return ErrorResponse(503, "no answer in time");
   co_return http::ServerAnswer{response->status, wire::FormatAnswer(*response),
                                response->retry_after_s};
 }
 
 io::Task<http::ServerAnswer> ControllerServer::HandleHeartbeat(http::Message request) {
   const std::optional<Heartbeat> heartbeat = wire::ParseReport(request.body);
-  if (!heartbeat) co_return ErrorAnswer(400, "malformed report");
+  if (!heartbeat) co_return ErrorResponse(400, "malformed report");
   ++metrics_.reports;
   metrics_.report_bytes += request.body.size();
   const RequestId request_id = ++last_request_id_;
@@ -269,8 +269,8 @@
   ApplyEffects();
   std::optional<HeartbeatResponse> response = co_await slot.Wait(now + kHeartbeatTimeout);
   pending_heartbeats_.erase(request_id);
-  if (!response) co_return ErrorAnswer(503, "no answer in time");
-  if (io::Loop::Now() >= response->valid_until) co_return ErrorAnswer(503, "the lease has ended");
+  if (!response) co_return ErrorResponse(503, "no answer in time");
+  if (io::Loop::Now() >= response->valid_until) co_return ErrorResponse(503, "the lease has ended");
   std::string body = wire::FormatCheckinAnswer(*response);
   metrics_.report_answer_bytes += body.size();
   co_return http::ServerAnswer{response->status, std::move(body), 0};
--- a/src/adapters/metrics.h
+++ b/src/adapters/metrics.h
@@ -19,8 +19,8 @@
   uint64_t direct_calls = 0;
   uint64_t user_requests = 0;
   uint64_t cloud_calls = 0;
-  http::Traffic state;          // requests to the state service, including watches
-  stats::Durations user_waits;  // response times to users since the last log line
+  http::Traffic state;                   // requests to the state service, including watches
+  stats::Durations user_response_times;  // response times to users since the last log line
 
   // Formats the counters, the gauges of the leader (if this controller leads) and the loop's
   // longest turn.
--- a/src/adapters/state_client.cpp
+++ b/src/adapters/state_client.cpp
@@ -18,7 +18,7 @@
 constexpr int kDownAfterRequests = 3;
 constexpr Micros kDownAfter = Seconds(2);
 
-StateResponse Refused() {
+StateResponse RefusedResponse() {
   StateResponse response;
   response.outcome = Outcome::kRefused;
   return response;
@@ -31,8 +31,8 @@
       // An equal share for each controller, with some headroom for bursts of other clients.
       rate_(settings.state_rps * 0.9 / static_cast<double>(settings.members.size() + 1)),
       tokens_(rate_),
-      tokens_at_(io::Loop::Now()),
-      answered_at_(io::Loop::Now()),
+      tokens_updated_at_(io::Loop::Now()),
+      last_response_at_(io::Loop::Now()),
       requests_(loop, settings.state_addr, 8, kLimits),
       watches_(loop, settings.state_addr, 3, kLimits) {}
 
@@ -51,8 +51,8 @@
   ++waiting_for_token_;
   for (;;) {
     const Micros now = io::Loop::Now();
-    tokens_ = std::min(rate_, tokens_ + rate_ * (now - tokens_at_).ToSeconds());
-    tokens_at_ = now;
+    tokens_ = std::min(rate_, tokens_ + rate_ * (now - tokens_updated_at_).ToSeconds());
+    tokens_updated_at_ = now;
     if (tokens_ >= 1) {
       tokens_ -= 1;
       granted = true;
@@ -71,11 +71,11 @@
   const bool watch = request.kind == Kind::kWatch;
   if (!lease && !watch) {
     const bool granted = co_await WaitForToken();
-    if (!granted) co_return Refused();
+    if (!granted) co_return RefusedResponse();
   }
-  const bool down =
-      unanswered_ >= kDownAfterRequests && io::Loop::Now() - answered_at_ > kDownAfter;
-  if (down && !lease && !watch && in_flight_ > 0) co_return Refused();
+  const bool down = requests_without_response_ >= kDownAfterRequests &&
+                    io::Loop::Now() - last_response_at_ > kDownAfter;
+  if (down && !lease && !watch && in_flight_ > 0) co_return RefusedResponse();
   wire::Call call = wire::FormatStateCall(request);
   http::Client& client = watch ? watches_ : requests_;
   // A waiting watch does not show whether other requests would get a response. If it were counted,
@@ -87,13 +87,13 @@
   if (!watch) --in_flight_;
   StateResponse response;
   if (!answer.answered()) {
-    if (!watch) ++unanswered_;
+    if (!watch) ++requests_without_response_;
     response.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kRefused
                                                                                : Outcome::kUnknown;
     co_return response;
   }
-  unanswered_ = 0;
-  answered_at_ = io::Loop::Now();
+  requests_without_response_ = 0;
+  last_response_at_ = io::Loop::Now();
   co_return wire::ParseStateAnswer(request, answer.status, answer.body);
 }
 
--- a/src/adapters/state_client.h
+++ b/src/adapters/state_client.h
@@ -27,11 +27,11 @@
   io::Loop* loop_;
   double rate_;  // requests a second; also the size of the bucket
   double tokens_;
-  Micros tokens_at_;
+  Micros tokens_updated_at_;
   int waiting_for_token_ = 0;
-  Micros answered_at_;
-  int unanswered_ = 0;  // requests since the last response
-  int in_flight_ = 0;   // without watches
+  Micros last_response_at_;
+  int requests_without_response_ = 0;
+  int in_flight_ = 0;  // without watches
   http::Client requests_;
   http::Client watches_;
 };
--- a/src/agent/core/agent.cpp
+++ b/src/agent/core/agent.cpp
@@ -5,8 +5,8 @@
 namespace badgershore::agent {
 namespace {
 
-constexpr Micros kLeastGap = Millis(500);
-constexpr Micros kRetry = Seconds(1);
+constexpr Micros kMinHeartbeatGap = Millis(500);
+constexpr Micros kRetryDelay = Seconds(1);
 
 }  // namespace
 
@@ -14,280 +14,284 @@
     : settings_(std::move(settings)),
       jitter_(jitter | 1),
       lease_end_(now + settings_.lease),
-      sent_at_(now - kLeastGap),
-      report_at_(now) {
-  at_ = jitter_ / 2 % settings_.controllers.size();
+      sent_at_(now - kMinHeartbeatGap),
+      next_heartbeat_at_(now) {
+  controller_index_ = jitter_ / 2 % settings_.controllers.size();
 }
 
-Resources Agent::Used() const {
+Resources Agent::UsedResources() const {
   Resources used;
-  for (const auto& [key, held] : tasks_) {
-    if (held.state != TaskPhase::kExited && held.spec) used = used + held.spec->need;
+  for (const auto& [key, entry] : tasks_) {
+    if (entry.phase != TaskPhase::kExited && entry.spec) used = used + entry.spec->need;
   }
   return used;
 }
 
-bool Agent::ImageWanted(const std::string& image) const {
+bool Agent::IsImageNeeded(const std::string& image) const {
   return std::any_of(tasks_.begin(), tasks_.end(), [&](const auto& t) {
-    return t.second.state == TaskPhase::kFetchingImage && t.second.spec &&
+    return t.second.phase == TaskPhase::kFetchingImage && t.second.spec &&
            t.second.spec->image == image;
   });
 }
 
-void Agent::Exit(const TaskKey& key, Held* held, ExitReason cause, bool saved) {
-  const bool fetched = held->state == TaskPhase::kFetchingImage && held->spec;
-  held->state = TaskPhase::kExited;
-  held->cause = cause;
-  held->saved = saved;
-  held->waits_until = kNever;
-  if (std::exchange(held->launched, false)) Say(Action::Kind::kKill).task = key;
-  if (fetched) {
-    auto image = images_.find(held->spec->image);
-    if (image != images_.end() && !image->second && !ImageWanted(image->first)) {
-      Say(Action::Kind::kGiveUp).text = image->first;
+void Agent::MarkExited(const TaskKey& key, TaskEntry* entry, ExitReason exit_reason,
+                       bool checkpointed) {
+  const bool was_fetching = entry->phase == TaskPhase::kFetchingImage && entry->spec;
+  entry->phase = TaskPhase::kExited;
+  entry->exit_reason = exit_reason;
+  entry->checkpointed = checkpointed;
+  entry->gang_deadline = kNever;
+  if (std::exchange(entry->launched, false)) AddAction(Action::Kind::kKill).task = key;
+  if (was_fetching) {
+    auto image = images_.find(entry->spec->image);
+    if (image != images_.end() && !image->second && !IsImageNeeded(image->first)) {
+      AddAction(Action::Kind::kGiveUp).text = image->first;
       images_.erase(image);
     }
   }
-  Changed();
+  MarkChanged();
 }
 
-void Agent::Start(Micros, const Command& order) {
-  const TaskKey key{order.ref, order.attempt};
+void Agent::StartTask(Micros, const Command& command) {
+  const TaskKey key{command.ref, command.attempt};
   if (tasks_.contains(key)) return;  // in any state, including refused and exited tasks
-  Held& held = tasks_[key];
-  Changed();
-  for (auto it = tasks_.lower_bound({order.ref, 0});
-       it != tasks_.end() && it->first.ref == order.ref; ++it) {
-    if (it->first == key || it->second.state == TaskPhase::kExited) continue;
-    return Exit(key, &held, ExitReason::kDuplicateTask, false);
+  TaskEntry& entry = tasks_[key];
+  MarkChanged();
+  for (auto it = tasks_.lower_bound({command.ref, 0});
+       it != tasks_.end() && it->first.ref == command.ref; ++it) {
+    if (it->first == key || it->second.phase == TaskPhase::kExited) continue;
+    return MarkExited(key, &entry, ExitReason::kDuplicateTask, false);
   }
-  Say(Action::Kind::kDescribe).text = order.ref.job;
+  AddAction(Action::Kind::kDescribe).text = command.ref.job;
 }
 
 void Agent::OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec) {
-  for (auto& [key, held] : tasks_) {
-    if (key.ref.job != job || held.spec || held.state != TaskPhase::kFetchingImage) continue;
+  for (auto& [key, entry] : tasks_) {
+    if (key.ref.job != job || entry.spec || entry.phase != TaskPhase::kFetchingImage) continue;
     if (!spec || key.ref.task >= spec->tasks) {
-      Exit(key, &held, ExitReason::kUnknownTask, false);
+      MarkExited(key, &entry, ExitReason::kUnknownTask, false);
       continue;
     }
-    const Resources room = settings_.size - Used();
-    held.spec = spec;
-    if (!spec->need.Fits(room)) {
-      // A refused task uses no resources and has started no image fetch, which Exit() could cancel.
-      held.state = TaskPhase::kExited;
-      held.cause = ExitReason::kInsufficientResources;
-      Changed();
+    const Resources free = settings_.size - UsedResources();
+    entry.spec = spec;
+    if (!spec->need.Fits(free)) {
+      // A refused task uses no resources and has started no image fetch, which MarkExited() could
+      // cancel.
+      entry.phase = TaskPhase::kExited;
+      entry.exit_reason = ExitReason::kInsufficientResources;
+      MarkChanged();
       continue;
     }
-    Admit(now, key, &held);
+    FetchImageOrLaunch(now, key, &entry);
   }
 }
 
-void Agent::Admit(Micros now, const TaskKey& key, Held* held) {
-  auto image = images_.find(held->spec->image);
-  if (image != images_.end() && image->second) return Launch(now, key, held);
+void Agent::FetchImageOrLaunch(Micros now, const TaskKey& key, TaskEntry* entry) {
+  auto image = images_.find(entry->spec->image);
+  if (image != images_.end() && image->second) return Launch(now, key, entry);
   if (image != images_.end()) return;  // being fetched for another task
-  images_[held->spec->image] = false;
-  Action& fetch = Say(Action::Kind::kFetch);
-  fetch.text = held->spec->image;
-  fetch.gb = held->spec->image_gb;
+  images_[entry->spec->image] = false;
+  Action& fetch = AddAction(Action::Kind::kFetch);
+  fetch.text = entry->spec->image;
+  fetch.gb = entry->spec->image_gb;
 }
 
-void Agent::Launch(Micros now, const TaskKey& key, Held* held) {
-  const bool gang = held->spec->kind == JobKind::kGang;
-  held->state = gang ? TaskPhase::kWaitingForGang : TaskPhase::kRunning;
-  if (gang) held->waits_until = now + settings_.gang_wait;
-  held->launched = true;
-  Say(Action::Kind::kLaunch).task = key;
-  Changed();
+void Agent::Launch(Micros now, const TaskKey& key, TaskEntry* entry) {
+  const bool gang = entry->spec->kind == JobKind::kGang;
+  entry->phase = gang ? TaskPhase::kWaitingForGang : TaskPhase::kRunning;
+  if (gang) entry->gang_deadline = now + settings_.gang_wait;
+  entry->launched = true;
+  AddAction(Action::Kind::kLaunch).task = key;
+  MarkChanged();
 }
 
 void Agent::OnImage(Micros now, const std::string& image) {
   auto it = images_.find(image);
   if (it == images_.end()) return;
   it->second = true;
-  for (auto& [key, held] : tasks_) {
-    if (held.state == TaskPhase::kFetchingImage && held.spec && held.spec->image == image) {
-      Launch(now, key, &held);
+  for (auto& [key, entry] : tasks_) {
+    if (entry.phase == TaskPhase::kFetchingImage && entry.spec && entry.spec->image == image) {
+      Launch(now, key, &entry);
     }
   }
 }
 
 void Agent::OnGangComplete(Micros, const TaskKey& task) {
   auto it = tasks_.find(task);
-  if (it == tasks_.end() || it->second.state != TaskPhase::kWaitingForGang) return;
-  it->second.state = TaskPhase::kRunning;
-  it->second.waits_until = kNever;
-  Changed();
+  if (it == tasks_.end() || it->second.phase != TaskPhase::kWaitingForGang) return;
+  it->second.phase = TaskPhase::kRunning;
+  it->second.gang_deadline = kNever;
+  MarkChanged();
 }
 
-void Agent::OnExit(Micros, const TaskKey& task, ExitReason cause, bool saved) {
+void Agent::OnExit(Micros, const TaskKey& task, ExitReason exit_reason, bool checkpointed) {
   auto it = tasks_.find(task);
-  if (it == tasks_.end() || it->second.state == TaskPhase::kExited) return;
+  if (it == tasks_.end() || it->second.phase == TaskPhase::kExited) return;
   it->second.launched = false;  // it has exited already
-  Exit(task, &it->second, cause, saved);
+  MarkExited(task, &it->second, exit_reason, checkpointed);
 }
 
-void Agent::Halt(Micros, const Command& order) {
-  const TaskKey key{order.ref, order.attempt};
+void Agent::StopTask(Micros, const Command& command) {
+  const TaskKey key{command.ref, command.attempt};
   auto it = tasks_.find(key);
-  if (it == tasks_.end() || it->second.state == TaskPhase::kExited) return;
-  Held& held = it->second;
-  const bool can_save = held.spec && held.spec->checkpoint_interval > Micros{};
-  if (held.state == TaskPhase::kCheckpointing && order.grace_period > Micros{})
+  if (it == tasks_.end() || it->second.phase == TaskPhase::kExited) return;
+  TaskEntry& entry = it->second;
+  const bool can_checkpoint = entry.spec && entry.spec->checkpoint_interval > Micros{};
+  if (entry.phase == TaskPhase::kCheckpointing && command.grace_period > Micros{})
     return;  // in progress
-  if (held.state == TaskPhase::kRunning && can_save &&
-      order.grace_period >= held.spec->checkpoint_duration) {
-    held.state = TaskPhase::kCheckpointing;
-    Say(Action::Kind::kSave).task = key;
-    return Changed();
+  if (entry.phase == TaskPhase::kRunning && can_checkpoint &&
+      command.grace_period >= entry.spec->checkpoint_duration) {
+    entry.phase = TaskPhase::kCheckpointing;
+    AddAction(Action::Kind::kSave).task = key;
+    return MarkChanged();
   }
-  Exit(key, &held, ExitReason::kStopped, false);
+  MarkExited(key, &entry, ExitReason::kStopped, false);
 }
 
-void Agent::Obey(Micros now, const std::vector<Command>& orders) {
-  for (const Command& order : orders) {
-    switch (order.verb) {
+void Agent::ExecuteCommands(Micros now, const std::vector<Command>& commands) {
+  for (const Command& command : commands) {
+    switch (command.verb) {
       case Command::Verb::kStart:
-        Start(now, order);
+        StartTask(now, command);
         break;
       case Command::Verb::kStop:
-        Halt(now, order);
+        StopTask(now, command);
         break;
       case Command::Verb::kForget: {
-        auto it = tasks_.find({order.ref, order.attempt});
-        if (it == tasks_.end() || it->second.state != TaskPhase::kExited) break;
+        auto it = tasks_.find({command.ref, command.attempt});
+        if (it == tasks_.end() || it->second.phase != TaskPhase::kExited) break;
         tasks_.erase(it);
-        Changed();
+        MarkChanged();
       }
     }
   }
 }
 
-void Agent::SeeToken(Micros now, uint64_t fencing_token) {
+void Agent::ObserveFencingToken(Micros now, uint64_t fencing_token) {
   if (fencing_token <= fencing_token_) return;
   fencing_token_ = fencing_token;
   if (now < token_change_from_) return;
   token_change_from_ = now + settings_.lease.Scaled(0.5);
-  Changed();
+  MarkChanged();
 }
 
-int Agent::OnDirect(Micros now, uint64_t fencing_token, uint64_t session,
-                    const std::vector<Command>& orders) {
-  EndWhatIsDue(now);
-  if (fencing_token < fencing_token_ || session != session_) return 409;
-  SeeToken(now, fencing_token);
-  Obey(now, orders);
+int Agent::OnDirect(Micros now, uint64_t fencing_token, uint64_t epoch,
+                    const std::vector<Command>& commands) {
+  EndExpired(now);
+  if (fencing_token < fencing_token_ || epoch != epoch_) return 409;
+  ObserveFencingToken(now, fencing_token);
+  ExecuteCommands(now, commands);
   return 200;
 }
 
 Heartbeat Agent::Status() {
-  Heartbeat r;
-  r.machine = settings_.machine.id;
-  r.endpoint = settings_.machine.endpoint;
-  r.type = settings_.machine.type;
-  r.zone = settings_.machine.zone;
-  r.spot = settings_.machine.spot;
-  r.agent_epoch = session_;
-  r.sequence = ++sequence_;
-  r.fencing_token = fencing_token_;
-  for (const auto& [key, held] : tasks_) {
-    r.tasks.push_back({key.ref, key.attempt, held.state, held.cause, held.saved});
+  Heartbeat heartbeat;
+  heartbeat.machine = settings_.machine.id;
+  heartbeat.endpoint = settings_.machine.endpoint;
+  heartbeat.type = settings_.machine.type;
+  heartbeat.zone = settings_.machine.zone;
+  heartbeat.spot = settings_.machine.spot;
+  heartbeat.agent_epoch = epoch_;
+  heartbeat.sequence = ++sequence_;
+  heartbeat.fencing_token = fencing_token_;
+  for (const auto& [key, entry] : tasks_) {
+    heartbeat.tasks.push_back(
+        {key.ref, key.attempt, entry.phase, entry.exit_reason, entry.checkpointed});
   }
-  return r;
+  return heartbeat;
 }
 
-void Agent::SetNotice(Micros now, std::optional<Micros> left) {
-  notice_at_ = left ? std::optional<Micros>(now + *left) : std::nullopt;
-  Changed();
+void Agent::SetNotice(Micros now, std::optional<Micros> remaining) {
+  preemption_at_ = remaining ? std::optional<Micros>(now + *remaining) : std::nullopt;
+  MarkChanged();
 }
 
-void Agent::SendReport(Micros now) {
-  reporting_ = true;
+void Agent::SendHeartbeat(Micros now) {
+  heartbeat_in_flight_ = true;
   changed_ = false;
   sent_at_ = now;
-  reported_session_ = session_;
-  Action& c = Say(Action::Kind::kReport);
-  c.report_id = ++report_id_;
-  c.controller = at_;
-  c.report = Status();
-  if (notice_at_) c.report.preemption_notice = std::max(Micros{}, *notice_at_ - now);
+  sent_epoch_ = epoch_;
+  Action& action = AddAction(Action::Kind::kReport);
+  action.report_id = ++heartbeat_id_;
+  action.controller = controller_index_;
+  action.report = Status();
+  if (preemption_at_) action.report.preemption_notice = std::max(Micros{}, *preemption_at_ - now);
 }
 
 // Sets the time of the next heartbeat to the interval with a jitter of up to 25%.
-void Agent::Next(Micros) {
+void Agent::ScheduleNextHeartbeat(Micros) {
   jitter_ = jitter_ * 6364136223846793005ULL + 1442695040888963407ULL;
   const double share = 0.75 + 0.5 * static_cast<double>(jitter_ >> 40) / (1 << 24);
-  report_at_ = sent_at_ + std::max(kLeastGap, settings_.report_every.Scaled(share));
+  next_heartbeat_at_ = sent_at_ + std::max(kMinHeartbeatGap, settings_.report_every.Scaled(share));
 }
 
-void Agent::OnAnswer(Micros now, uint64_t report_id, const HeartbeatResponse& answer) {
-  if (!reporting_ || report_id != report_id_) return;
+void Agent::OnAnswer(Micros now, uint64_t heartbeat_id, const HeartbeatResponse& response) {
+  if (!heartbeat_in_flight_ || heartbeat_id != heartbeat_id_) return;
   // Expired tasks end first, but no heartbeat is sent before the response's commands are executed:
   // controllers take a heartbeat without a started task as proof that the start never arrived.
-  EndWhatIsDue(now);
-  reporting_ = false;
-  Next(now);
-  Heed(now, answer);
+  EndExpired(now);
+  heartbeat_in_flight_ = false;
+  ScheduleNextHeartbeat(now);
+  HandleResponse(now, response);
   Tick(now);
 }
 
-void Agent::Heed(Micros now, const HeartbeatResponse& answer) {
-  if (answer.status == 200) {
+void Agent::HandleResponse(Micros now, const HeartbeatResponse& response) {
+  if (response.status == 200) {
     // A response with a lower token is ignored and does not renew the lease, but the agent stays
     // with this controller.
-    if (reported_session_ != session_ || answer.fencing_token < fencing_token_ ||
-        answer.fencing_token == 0)
+    if (sent_epoch_ != epoch_ || response.fencing_token < fencing_token_ ||
+        response.fencing_token == 0)
       return;
     lease_end_ = std::max(lease_end_, sent_at_ + settings_.lease);
-    SeeToken(now, answer.fencing_token);
-    return Obey(now, answer.commands);
+    ObserveFencingToken(now, response.fencing_token);
+    return ExecuteCommands(now, response.commands);
   }
   const auto& names = settings_.controllers;
-  const auto named = std::find(names.begin(), names.end(), answer.leader);
-  if (answer.status == 421 && named != names.end() &&
-      static_cast<size_t>(named - names.begin()) != at_) {
-    at_ = static_cast<size_t>(named - names.begin());
-    report_at_ = std::max(now, sent_at_ + kLeastGap);
+  const auto leader = std::find(names.begin(), names.end(), response.leader);
+  if (response.status == 421 && leader != names.end() &&
+      static_cast<size_t>(leader - names.begin()) != controller_index_) {
+    controller_index_ = static_cast<size_t>(leader - names.begin());
+    next_heartbeat_at_ = std::max(now, sent_at_ + kMinHeartbeatGap);
     return;
   }
-  at_ = (at_ + 1) % names.size();
-  hold_until_ = report_at_ = now + kRetry;
+  controller_index_ = (controller_index_ + 1) % names.size();
+  retry_at_ = next_heartbeat_at_ = now + kRetryDelay;
 }
 
-void Agent::NextSession(Micros now) {
-  for (auto& [key, held] : tasks_) {
-    if (held.state != TaskPhase::kExited) Exit(key, &held, ExitReason::kStopped, false);
+void Agent::StartNextEpoch(Micros now) {
+  for (auto& [key, entry] : tasks_) {
+    if (entry.phase != TaskPhase::kExited) MarkExited(key, &entry, ExitReason::kStopped, false);
   }
   tasks_.clear();
-  ++session_;
+  ++epoch_;
   lease_end_ = now + settings_.lease;
-  Changed();
+  MarkChanged();
 }
 
-void Agent::EndWhatIsDue(Micros now) {
-  if (now > lease_end_) NextSession(now);
-  for (auto& [key, held] : tasks_) {
-    if (held.waits_until <= now) Exit(key, &held, ExitReason::kGangIncomplete, false);
+void Agent::EndExpired(Micros now) {
+  if (now > lease_end_) StartNextEpoch(now);
+  for (auto& [key, entry] : tasks_) {
+    if (entry.gang_deadline <= now) MarkExited(key, &entry, ExitReason::kGangIncomplete, false);
   }
 }
 
 // A change is reported immediately, but not before the minimum gap after the previous heartbeat and
 // not before the retry delay after a controller that did not respond.
-Micros Agent::ReportDue() const {
-  return changed_ ? std::min(report_at_, std::max(sent_at_ + kLeastGap, hold_until_)) : report_at_;
+Micros Agent::HeartbeatDue() const {
+  return changed_ ? std::min(next_heartbeat_at_, std::max(sent_at_ + kMinHeartbeatGap, retry_at_))
+                  : next_heartbeat_at_;
 }
 
 void Agent::Tick(Micros now) {
-  EndWhatIsDue(now);
-  if (!reporting_ && now >= ReportDue()) SendReport(now);
+  EndExpired(now);
+  if (!heartbeat_in_flight_ && now >= HeartbeatDue()) SendHeartbeat(now);
 }
 
 Micros Agent::NextDeadline() const {
   Micros next = lease_end_ + Micros{1};
-  if (!reporting_) next = std::min(next, ReportDue());
-  for (const auto& [key, held] : tasks_) next = std::min(next, held.waits_until);
+  if (!heartbeat_in_flight_) next = std::min(next, HeartbeatDue());
+  for (const auto& [key, entry] : tasks_) next = std::min(next, entry.gang_deadline);
   return next;
 }
 
--- a/src/agent/core/agent.h
+++ b/src/agent/core/agent.h
@@ -51,11 +51,11 @@
   Micros NextDeadline() const;
 
   // Handles the response to a heartbeat. Status 0 means no response in time or no connection.
-  void OnAnswer(Micros now, uint64_t report_id, const HeartbeatResponse& answer);
+  void OnAnswer(Micros now, uint64_t heartbeat_id, const HeartbeatResponse& response);
   // Handles POST /do and returns the status, 200 or 409. The body of the response is Status()
   // afterwards.
-  int OnDirect(Micros now, uint64_t fencing_token, uint64_t session,
-               const std::vector<Command>& orders);
+  int OnDirect(Micros now, uint64_t fencing_token, uint64_t epoch,
+               const std::vector<Command>& commands);
   Heartbeat Status();  // takes a new sequence number
 
   void OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec);
@@ -63,64 +63,64 @@
   void OnGangComplete(Micros now, const TaskKey& task);  // the task stops waiting and runs
   // A task has exited by itself or after kSave. Ignored for a killed task, whose reason is already
   // recorded.
-  void OnExit(Micros now, const TaskKey& task, ExitReason cause, bool saved);
-  void SetNotice(Micros now, std::optional<Micros> left);
+  void OnExit(Micros now, const TaskKey& task, ExitReason exit_reason, bool checkpointed);
+  void SetNotice(Micros now, std::optional<Micros> remaining);
 
-  std::vector<Action> Take() { return std::exchange(out_, {}); }
-  uint64_t session() const { return session_; }
+  std::vector<Action> Take() { return std::exchange(actions_, {}); }
+  uint64_t session() const { return epoch_; }
   uint64_t fencing_token() const { return fencing_token_; }
   size_t tasks() const { return tasks_.size(); }
-  bool noticed() const { return notice_at_.has_value(); }
-  Resources Free() const { return settings_.size - Used(); }
+  bool noticed() const { return preemption_at_.has_value(); }
+  Resources Free() const { return settings_.size - UsedResources(); }
 
  private:
-  struct Held {
-    TaskPhase state = TaskPhase::kFetchingImage;
-    ExitReason cause = ExitReason::kNone;
-    bool saved = false;
+  struct TaskEntry {
+    TaskPhase phase = TaskPhase::kFetchingImage;
+    ExitReason exit_reason = ExitReason::kNone;
+    bool checkpointed = false;
     bool launched = false;
     std::optional<JobSpec> spec;
-    Micros waits_until = kNever;  // for a task that waits for the rest of its gang
+    Micros gang_deadline = kNever;  // for a task that waits for the rest of its gang
   };
 
-  void Heed(Micros now, const HeartbeatResponse& answer);
-  void EndWhatIsDue(Micros now);
-  Micros ReportDue() const;
-  void Obey(Micros now, const std::vector<Command>& orders);
-  void Start(Micros now, const Command& order);
-  void Halt(Micros now, const Command& order);
-  void Admit(Micros now, const TaskKey& key, Held* held);
-  void Launch(Micros now, const TaskKey& key, Held* held);
-  void Exit(const TaskKey& key, Held* held, ExitReason cause, bool saved);
-  void SeeToken(Micros now, uint64_t fencing_token);
-  void NextSession(Micros now);
-  void SendReport(Micros now);
-  void Next(Micros now);
-  void Changed() { changed_ = true; }
-  bool ImageWanted(const std::string& image) const;
-  Resources Used() const;
-  Action& Say(Action::Kind kind) {
-    out_.emplace_back();
-    out_.back().kind = kind;
-    return out_.back();
+  void HandleResponse(Micros now, const HeartbeatResponse& response);
+  void EndExpired(Micros now);
+  Micros HeartbeatDue() const;
+  void ExecuteCommands(Micros now, const std::vector<Command>& commands);
+  void StartTask(Micros now, const Command& command);
+  void StopTask(Micros now, const Command& command);
+  void FetchImageOrLaunch(Micros now, const TaskKey& key, TaskEntry* entry);
+  void Launch(Micros now, const TaskKey& key, TaskEntry* entry);
+  void MarkExited(const TaskKey& key, TaskEntry* entry, ExitReason exit_reason, bool checkpointed);
+  void ObserveFencingToken(Micros now, uint64_t fencing_token);
+  void StartNextEpoch(Micros now);
+  void SendHeartbeat(Micros now);
+  void ScheduleNextHeartbeat(Micros now);
+  void MarkChanged() { changed_ = true; }
+  bool IsImageNeeded(const std::string& image) const;
+  Resources UsedResources() const;
+  Action& AddAction(Action::Kind kind) {
+    actions_.emplace_back();
+    actions_.back().kind = kind;
+    return actions_.back();
   }
 
   Settings settings_;
   uint64_t jitter_;
-  std::map<TaskKey, Held> tasks_;
-  std::map<std::string, bool> images_;  // requested or present; true if present
-  std::optional<Micros> notice_at_;     // when the machine will be preempted
-  uint64_t session_ = 1, sequence_ = 0, fencing_token_ = 0;
+  std::map<TaskKey, TaskEntry> tasks_;
+  std::map<std::string, bool> images_;   // requested or present; true if present
+  std::optional<Micros> preemption_at_;  // when the machine will be preempted
+  uint64_t epoch_ = 1, sequence_ = 0, fencing_token_ = 0;
   Micros lease_end_;
   // Heartbeats.
-  size_t at_ = 0;
-  uint64_t report_id_ = 0;
-  bool reporting_ = false;
-  uint64_t reported_session_ = 0;
-  Micros sent_at_, report_at_, hold_until_;
+  size_t controller_index_ = 0;
+  uint64_t heartbeat_id_ = 0;
+  bool heartbeat_in_flight_ = false;
+  uint64_t sent_epoch_ = 0;
+  Micros sent_at_, next_heartbeat_at_, retry_at_;
   bool changed_ = false;
   Micros token_change_from_;  // from then on a higher fencing token causes a heartbeat again
-  std::vector<Action> out_;
+  std::vector<Action> actions_;
 };
 
 }  // namespace badgershore::agent
--- a/src/limits/quota_debug_string.cpp
+++ b/src/limits/quota_debug_string.cpp
@@ -59,7 +59,7 @@
       limits::DebugString(records_.durable()) + '|' + limits::DebugString(records_.next());
   if (records_.in_flight()) out += "|in flight " + limits::DebugString(*records_.in_flight());
   for (const auto& [cell, peer] : peers_) {
-    out += '|' + std::string(peer.heard ? "responded " : "no response ") +
+    out += '|' + std::string(peer.responded ? "responded " : "no response ") +
            limits::DebugString(peer.message);
   }
   if (!restricted_to_floor_reason_.empty()) out += "|restricted: " + restricted_to_floor_reason_;
--- a/src/limits/quota_ledger.cpp
+++ b/src/limits/quota_ledger.cpp
@@ -43,13 +43,13 @@
 }
 
 std::set<std::string> QuotaLedger::UnheardCells() const {
-  std::set<std::string> unheard;
+  std::set<std::string> missing;
   for (const Cell& cell : shares_.settings().cells) {
     if (cell.name == shares_.settings().self || cell.removed()) continue;
     auto it = peers_.find(cell.name);
-    if (it == peers_.end() || !it->second.heard) unheard.insert(cell.name);
+    if (it == peers_.end() || !it->second.responded) missing.insert(cell.name);
   }
-  return unheard;
+  return missing;
 }
 
 void QuotaLedger::RestrictToFloor(const std::string& reason) {
@@ -96,7 +96,7 @@
   const int64_t floor = shares_.Floor();
   // The record may come from an older copy of the state service, and units that it shows as held
   // may have been transferred since. Only the floor is never transferred.
-  if (!restricted_to_floor_reason_.empty() || !AllHeard()) units = std::min(units, floor);
+  if (!restricted_to_floor_reason_.empty() || !AllCellsResponded()) units = std::min(units, floor);
   // Units owed to other cells are not reused here when they become free.
   int64_t owed = 0;
   for (const auto& [cell, peer] : peers_) owed += OwedTo(cell, team, kind);
@@ -108,20 +108,20 @@
 // A higher total takes effect once the settings of all cells have it, a lower one immediately.
 void QuotaLedger::AgreeOnTotals() {
   for (const auto& [team, own] : own_totals_) {
-    ResourceAmounts least = own;
-    bool complete = AllHeard();
+    ResourceAmounts lowest = own;
+    bool all_agree = AllCellsResponded();
     for (const auto& [cell, peer] : peers_) {
       if (!shares_.IsActive(cell)) continue;
       auto it = peer.message.totals.find(team);
       if (it == peer.message.totals.end()) {
-        complete = false;  // its settings do not contain the team yet
+        all_agree = false;  // its settings do not contain the team yet
         continue;
       }
-      for (size_t i = 0; i < kResourceKinds; ++i) least[i] = std::min(least[i], it->second[i]);
+      for (size_t i = 0; i < kResourceKinds; ++i) lowest[i] = std::min(lowest[i], it->second[i]);
     }
     ResourceAmounts& agreed = records_.next().totals.try_emplace(team, own).first->second;
     for (size_t i = 0; i < kResourceKinds; ++i) {
-      if (least[i] < agreed[i] || complete) agreed[i] = least[i];
+      if (lowest[i] < agreed[i] || all_agree) agreed[i] = lowest[i];
     }
   }
 }
@@ -151,7 +151,7 @@
   peer.message = message;
   // A response to an earlier load does not count: its numbers could match an old copy of the
   // record.
-  peer.heard = peer.heard || message.echoed_nonce == nonce_;
+  peer.responded = peer.responded || message.echoed_nonce == nonce_;
   AcknowledgeTransfer(message);
   ReceiveTransfer(message);
   AbsorbRemovedCells();
@@ -167,7 +167,7 @@
   AgreeOnTotals();
   AbsorbRemovedCells();
   // Nothing is transferred before the other cells have confirmed this cell's transfer numbers.
-  if (!AllHeard()) return;
+  if (!AllCellsResponded()) return;
   for (const std::string& cell : CellsByPriority()) StartTransfer(cell, now_ms_);
 }
 
--- a/src/limits/quota_ledger.h
+++ b/src/limits/quota_ledger.h
@@ -71,7 +71,7 @@
 
  private:
   struct Peer {
-    bool heard = false;  // has responded since this load of the record
+    bool responded = false;  // has responded since this load of the record
     CellMessage message;
   };
   // A cell that has transferred units of a team requests them back only after a delay, which grows.
@@ -86,7 +86,7 @@
   int64_t UsedUnits(const std::string& team, ResourceKind kind) const;
   ResourceAmounts& NextHeld(const std::string& team);
   void AgreeOnTotals();
-  bool AllHeard() const { return UnheardCells().empty(); }
+  bool AllCellsResponded() const { return UnheardCells().empty(); }
   void RestrictToFloor(const std::string& reason);
 
   // Requests.
--- a/src/limits/quota_requests.cpp
+++ b/src/limits/quota_requests.cpp
@@ -7,22 +7,22 @@
 namespace badgershore::limits {
 namespace {
 
-constexpr int kLastPriority = 9;  // lower than the priority of any request
+constexpr int kLowestPriority = 9;  // lower than the priority of any request
 
 struct RequestRank {
-  int priority = kLastPriority;
+  int priority = kLowestPriority;
   int64_t waiting_since_ms = INT64_MAX;
   auto operator<=>(const RequestRank&) const = default;
 };
 
-RequestRank FirstRank(const std::map<std::string, QuotaRequest>& requests) {
-  RequestRank first;
+RequestRank HighestRank(const std::map<std::string, QuotaRequest>& requests) {
+  RequestRank highest;
   for (const auto& [team, request] : requests) {
     if (request.any()) {
-      first = std::min(first, RequestRank{request.priority, request.waiting_since_ms});
+      highest = std::min(highest, RequestRank{request.priority, request.waiting_since_ms});
     }
   }
-  return first;
+  return highest;
 }
 
 }  // namespace
@@ -79,7 +79,7 @@
   int64_t sum = 0;
   for (const auto& [cell, peer] : peers_) {
     const QuotaRequest* request = FindRequest(team, cell);
-    if (request && peer.heard && shares_.IsActive(cell)) sum += request->units[kind];
+    if (request && peer.responded && shares_.IsActive(cell)) sum += request->units[kind];
   }
   return sum;
 }
@@ -94,7 +94,7 @@
   for (const auto& [cell, peer] : peers_)
     if (shares_.IsActive(cell)) cells.push_back(cell);
   std::stable_sort(cells.begin(), cells.end(), [this](const std::string& a, const std::string& b) {
-    return FirstRank(peers_.at(a).message.requests) < FirstRank(peers_.at(b).message.requests);
+    return HighestRank(peers_.at(a).message.requests) < HighestRank(peers_.at(b).message.requests);
   });
   return cells;
 }
--- a/src/limits/quota_transfers.cpp
+++ b/src/limits/quota_transfers.cpp
@@ -11,8 +11,8 @@
 
 // A total order over all waiting requests, so that two gangs never deadlock with half of the quota
 // each.
-bool GoesBefore(const QuotaRequest& a, const std::string& cell_a, const QuotaRequest& b,
-                const std::string& cell_b) {
+bool IsOrderedBefore(const QuotaRequest& a, const std::string& cell_a, const QuotaRequest& b,
+                     const std::string& cell_b) {
   return std::tie(a.priority, a.waiting_since_ms, cell_a) <
          std::tie(b.priority, b.waiting_since_ms, cell_b);
 }
@@ -25,7 +25,7 @@
 int64_t QuotaLedger::OwedTo(const std::string& cell, const std::string& team,
                             ResourceKind kind) const {
   auto peer = peers_.find(cell);
-  if (peer == peers_.end() || !peer->second.heard || !shares_.IsActive(cell)) return 0;
+  if (peer == peers_.end() || !peer->second.responded || !shares_.IsActive(cell)) return 0;
   const QuotaRequest* request = FindRequest(team, cell);
   const auto k = static_cast<size_t>(kind);
   if (!request || request->units[k] <= 0) return 0;
@@ -34,16 +34,16 @@
   const std::string& self = shares_.settings().self;
   // Includes work that waits only for a machine.
   const bool waiting = HasWaitingWork(team, k);
-  if (request->all_or_nothing && (!waiting || GoesBefore(*request, cell, own, self))) {
+  if (request->all_or_nothing && (!waiting || IsOrderedBefore(*request, cell, own, self))) {
     return std::clamp<int64_t>(request->units[k], 0, std::max<int64_t>(0, held - shares_.Floor()));
   }
   // A gang here that is ordered before the request there keeps the units gathered for it.
-  if (waiting && own.all_or_nothing && GoesBefore(own, self, *request, cell)) return 0;
+  if (waiting && own.all_or_nothing && IsOrderedBefore(own, self, *request, cell)) return 0;
   const int64_t equal = shares_.EqualShare();
-  const int64_t theirs = AmountOf(peer->second.message.held, team, k);
+  const int64_t held_by_peer = AmountOf(peer->second.message.held, team, k);
   const auto min_transfer =
       static_cast<int64_t>(static_cast<double>(equal) * shares_.settings().min_transfer_share);
-  const int64_t owed = std::min({request->units[k], held - equal, equal - theirs});
+  const int64_t owed = std::min({request->units[k], held - equal, equal - held_by_peer});
   return owed > min_transfer ? owed : 0;
 }
 
@@ -61,10 +61,10 @@
   auto demand = demands_.find(team);
   const int64_t growth =
       demand == demands_.end() ? 0 : ToUnits(team, kind, demand->second.additional[k]);
-  const int64_t free = std::max<int64_t>(0, available - growth);
+  const int64_t unused = std::max<int64_t>(0, available - growth);
   const int64_t all_requested = RequestedByPeers(team, k);
   if (all_requested <= 0) return 0;
-  const auto share = static_cast<__int128>(free) * requested / std::max(requested, all_requested);
+  const auto share = static_cast<__int128>(unused) * requested / std::max(requested, all_requested);
   return std::min(requested, static_cast<int64_t>(share));
 }
 
--- a/src/limits/removed_cells.cpp
+++ b/src/limits/removed_cells.cpp
@@ -29,7 +29,7 @@
     if (cell.removed() && cell.name != removed) return std::nullopt;
     if (cell.removed() || cell.name == shares_.settings().self) continue;
     auto peer = peers_.find(cell.name);
-    if (peer == peers_.end() || !peer->second.heard) return std::nullopt;
+    if (peer == peers_.end() || !peer->second.responded) return std::nullopt;
     auto closed = peer->second.message.closed.find(removed);
     if (closed == peer->second.message.closed.end()) return std::nullopt;
     net_sent.push_back(&closed->second);
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -35,17 +35,18 @@
 }
 
 bool Members::IsIsolated(Micros now) const {
-  return ticked_at_.count >= 0 && !probe_order_.empty() &&
-         now - answered_at_ >
+  return last_tick_at_.count >= 0 && !probe_order_.empty() &&
+         now - last_response_at_ >
              settings_.probe_interval.Scaled(kIsolatedIntervals * health_multiplier());
 }
 
 bool Members::IsSuspicionConfirmed(Micros now, const std::string& member) const {
   const View* view = Find(member);
   if (!view || view->state != State::kSuspect) return false;
-  const double possible = static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
-  const auto suspecting = static_cast<double>(view->suspected_by.size());
-  const double share = std::min(1.0, std::log(suspecting) / std::log(possible + 1));
+  const double possible_suspecters =
+      static_cast<double>(std::max<size_t>(1, settings_.others.size() - 1));
+  const auto suspecters = static_cast<double>(view->suspected_by.size());
+  const double share = std::min(1.0, std::log(suspecters) / std::log(possible_suspecters + 1));
   const double intervals =
       kMaxConfirmIntervals - (kMaxConfirmIntervals - kMinConfirmIntervals) * std::max(0.0, share);
   return now - view->state_since >= ScaledByHealth(settings_.probe_interval).Scaled(intervals);
@@ -168,10 +169,10 @@
                                           now + ScaledByHealth(settings_.probe_timeout)};
       return Send(Message::Kind::kPing, message.target, last_number_, "");
     case Message::Kind::kAck:
-      answered_at_ = now;
+      last_response_at_ = now;
       return OnAck(message);
     case Message::Kind::kNack:
-      answered_at_ = now;
+      last_response_at_ = now;
       if (!probe_.done && message.number == probe_.number) ++probe_.nacks;
       return;
   }
@@ -250,17 +251,17 @@
   probe_.done = true;
   indirect_probes_.clear();
   missed_probes_ = std::min(kMaxMissedProbes, missed_probes_ + 2);
-  answered_at_ = now;
+  last_response_at_ = now;
   next_probe_at_ = now;
 }
 
 void Members::Tick(Micros now) {
-  const bool first = ticked_at_.count < 0;
-  if (first) answered_at_ = now;
-  if (!first && now - ticked_at_ > settings_.probe_interval.Scaled(kPausedIntervals)) {
+  const bool first = last_tick_at_.count < 0;
+  if (first) last_response_at_ = now;
+  if (!first && now - last_tick_at_ > settings_.probe_interval.Scaled(kPausedIntervals)) {
     RecoverFromPause(now);
   }
-  ticked_at_ = now;
+  last_tick_at_ = now;
   if (left_) return;
   ExpireIndirectProbes(now);
   SendIndirectProbes(now);
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -134,8 +134,8 @@
   std::deque<QueuedUpdate> gossip_;
   int missed_probes_ = 0;
   Micros next_probe_at_{-1};
-  Micros ticked_at_{-1};
-  Micros answered_at_{-1};
+  Micros last_tick_at_{-1};
+  Micros last_response_at_{-1};
   std::vector<Message> outgoing_;
 };
 
--- a/src/peer/messages.cpp
+++ b/src/peer/messages.cpp
@@ -10,26 +10,27 @@
 namespace badgershore {
 
 template <class Archive>
-void serialize(Archive& ar, JobStatus& d) {
-  ar(d.job, d.done, d.running);
+void serialize(Archive& ar, JobStatus& status) {
+  ar(status.job, status.done, status.running);
 }
 
 template <class Archive>
-void serialize(Archive& ar, PeerStatus& n) {
-  ar(n.from, n.term, n.leader, n.state_service_reachable, n.job_statuses);
+void serialize(Archive& ar, PeerStatus& status) {
+  ar(status.from, status.term, status.leader, status.state_service_reachable, status.job_statuses);
 }
 
 namespace limits {
 
 template <class Archive>
-void serialize(Archive& ar, QuotaRequest& w) {
-  ar(w.units, w.waiting_since_ms, w.priority, w.all_or_nothing);
+void serialize(Archive& ar, QuotaRequest& request) {
+  ar(request.units, request.waiting_since_ms, request.priority, request.all_or_nothing);
 }
 
 template <class Archive>
-void serialize(Archive& ar, CellMessage& n) {
-  ar(n.from, n.to, n.leader_address, n.term, n.nonce, n.echoed_nonce, n.sent, n.received,
-     n.in_transit, n.held, n.totals, n.requests, n.closed);
+void serialize(Archive& ar, CellMessage& message) {
+  ar(message.from, message.to, message.leader_address, message.term, message.nonce,
+     message.echoed_nonce, message.sent, message.received, message.in_transit, message.held,
+     message.totals, message.requests, message.closed);
 }
 
 }  // namespace limits
@@ -37,14 +38,14 @@
 namespace membership {
 
 template <class Archive>
-void serialize(Archive& ar, Update& u) {
-  ar(u.member, u.state, u.incarnation, u.suspected_by);
+void serialize(Archive& ar, Update& update) {
+  ar(update.member, update.state, update.incarnation, update.suspected_by);
 }
 
 template <class Archive>
-void serialize(Archive& ar, Message& m) {
-  ar(m.kind, m.from, m.to, m.incarnation, m.number, m.target, m.state_service_reachable,
-     m.receives_heartbeats, m.gossip);
+void serialize(Archive& ar, Message& message) {
+  ar(message.kind, message.from, message.to, message.incarnation, message.number, message.target,
+     message.state_service_reachable, message.receives_heartbeats, message.gossip);
 }
 
 }  // namespace membership
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -9,8 +9,8 @@
 namespace badgershore::wire {
 namespace {
 
-constexpr size_t kNameLimit = 200;
-constexpr double kSpanLimit = 1e9;
+constexpr size_t kMaxNameBytes = 200;
+constexpr double kMaxSeconds = 1e9;
 
 const char* PhaseName(JobPhase p) {
   switch (p) {
@@ -27,40 +27,40 @@
 }
 
 // Reads fields of an object and keeps the first error.
-class Checker {
+class FieldReader {
  public:
-  explicit Checker(const Value& object) : object_(object) {}
-  const std::string& problem() const { return problem_; }
+  explicit FieldReader(const Value& object) : object_(object) {}
+  const std::string& error() const { return error_; }
 
-  std::string Name(const char* field) {
+  std::string RequiredString(const char* field) {
     const Value* v = Find(object_, field);
-    if (!v || !v->IsString() || v->GetStringLength() == 0 || v->GetStringLength() > kNameLimit) {
+    if (!v || !v->IsString() || v->GetStringLength() == 0 || v->GetStringLength() > kMaxNameBytes) {
       return Fail(field, "a string of 1 to 200 bytes"), std::string();
     }
     return {v->GetString(), v->GetStringLength()};
   }
-  double Amount(const char* field, double least, double most) {
+  double RequiredNumber(const char* field, double min, double max) {
     const Value* v = Find(object_, field);
-    if (!v || !v->IsNumber() || !(v->GetDouble() >= least) || !(v->GetDouble() <= most)) {
+    if (!v || !v->IsNumber() || !(v->GetDouble() >= min) || !(v->GetDouble() <= max)) {
       return Fail(field, "a number in its range"), 0;
     }
     return v->GetDouble();
   }
-  int Whole(const char* field, int least, int most) {
+  int RequiredInteger(const char* field, int min, int max) {
     const Value* v = Find(object_, field);
-    const double d = v && v->IsNumber() ? v->GetDouble() : least - 1.0;
-    if (d != std::floor(d) || d < least || d > most) {
-      return Fail(field, "a whole number in its range"), least;
+    const double d = v && v->IsNumber() ? v->GetDouble() : min - 1.0;
+    if (d != std::floor(d) || d < min || d > max) {
+      return Fail(field, "a whole number in its range"), min;
     }
     return static_cast<int>(d);
   }
-  bool Truth(const char* field) {
+  bool RequiredBool(const char* field) {
     const Value* v = Find(object_, field);
     if (!v || !v->IsBool()) return Fail(field, "true or false"), false;
     return v->GetBool();
   }
   template <typename E>
-  E OneOf(const char* field, std::initializer_list<std::pair<const char*, E>> choices) {
+  E RequiredEnum(const char* field, std::initializer_list<std::pair<const char*, E>> choices) {
     const std::string s = Text(object_, field);
     for (const auto& [name, value] : choices) {
       if (s == name) return value;
@@ -69,60 +69,63 @@
     return choices.begin()->second;
   }
   void Fail(const char* field, const char* expected) {
-    if (problem_.empty()) problem_ = std::string(field) + ": expected " + expected;
+    if (error_.empty()) error_ = std::string(field) + ": expected " + expected;
   }
 
  private:
   const Value& object_;
-  std::string problem_;
+  std::string error_;
 };
 
 // Only fields that may be null (builds, yard, dueS) may be absent. Jobs that are already stored are
 // read by records.cpp, which accepts missing fields.
-JobSpec ReadJob(const Value& v, Checker* c) {
+JobSpec ReadJobSpec(const Value& v, FieldReader* reader) {
   JobSpec s;
-  s.job_class = c->Name("lane");
-  s.team = c->Name("owner");
-  s.kind = c->OneOf<JobKind>(
+  s.job_class = reader->RequiredString("lane");
+  s.team = reader->RequiredString("owner");
+  s.kind = reader->RequiredEnum<JobKind>(
       "shape",
       {{"array", JobKind::kArray}, {"gang", JobKind::kGang}, {"daemon", JobKind::kService}});
-  s.priority = c->OneOf<Priority>("rank", {{"production", Priority::kProduction},
-                                           {"high", Priority::kHigh},
-                                           {"normal", Priority::kNormal},
-                                           {"idle", Priority::kIdle}});
-  s.tasks = c->Whole("legs", 1, 100000);
+  s.priority = reader->RequiredEnum<Priority>("rank", {{"production", Priority::kProduction},
+                                                       {"high", Priority::kHigh},
+                                                       {"normal", Priority::kNormal},
+                                                       {"idle", Priority::kIdle}});
+  s.tasks = reader->RequiredInteger("legs", 1, 100000);
   // Rounded up, so that a task is never counted with less than it requests.
-  s.need.cpu = static_cast<int64_t>(std::ceil(c->Amount("cpus", 0, 1e6) * 1000 - 1e-6));
-  s.need.gpu = static_cast<int64_t>(std::ceil(c->Amount("accelerators", 0, 1e6) * 1000 - 1e-6));
-  s.need.mem = static_cast<int64_t>(std::ceil(c->Amount("memGb", 0, 1e7) * 1000 - 1e-6));
-  s.image = c->Name("kit");
-  s.image_gb = c->Amount("imageGb", 0, 1e6);
+  s.need.cpu =
+      static_cast<int64_t>(std::ceil(reader->RequiredNumber("cpus", 0, 1e6) * 1000 - 1e-6));
+  s.need.gpu =
+      static_cast<int64_t>(std::ceil(reader->RequiredNumber("accelerators", 0, 1e6) * 1000 - 1e-6));
+  s.need.mem =
+      static_cast<int64_t>(std::ceil(reader->RequiredNumber("memGb", 0, 1e7) * 1000 - 1e-6));
+  s.image = reader->RequiredString("kit");
+  s.image_gb = reader->RequiredNumber("imageGb", 0, 1e6);
   if (const Value* builds = Find(v, "builds")) {
     s.machine_types.emplace();
     if (!builds->IsArray()) {
-      c->Fail("builds", "a list of names, or null");
+      reader->Fail("builds", "a list of names, or null");
     } else {
       for (const Value& b : builds->GetArray()) {
-        if (!b.IsString() || b.GetStringLength() > kNameLimit) {
-          c->Fail("builds", "a list of names, or null");
+        if (!b.IsString() || b.GetStringLength() > kMaxNameBytes) {
+          reader->Fail("builds", "a list of names, or null");
           break;
         }
         s.machine_types->emplace_back(b.GetString(), b.GetStringLength());
       }
     }
   }
-  if (Find(v, "yard")) s.zone = c->Name("yard");
-  s.same_zone = c->Truth("samePlace");
-  s.spread = c->Truth("spread");
-  s.allow_spot = c->Truth("loaners");
-  s.estimated_runtime = Seconds(c->Amount("expectS", 0, kSpanLimit));
-  s.checkpoint_interval = Seconds(c->Amount("stashEveryS", 0, kSpanLimit));
-  s.checkpoint_duration = Seconds(c->Amount("stashS", 0, kSpanLimit));
-  if (Find(v, "dueS")) s.deadline = Seconds(c->Amount("dueS", 0, kSpanLimit));
+  if (Find(v, "yard")) s.zone = reader->RequiredString("yard");
+  s.same_zone = reader->RequiredBool("samePlace");
+  s.spread = reader->RequiredBool("spread");
+  s.allow_spot = reader->RequiredBool("loaners");
+  s.estimated_runtime = Seconds(reader->RequiredNumber("expectS", 0, kMaxSeconds));
+  s.checkpoint_interval = Seconds(reader->RequiredNumber("stashEveryS", 0, kMaxSeconds));
+  s.checkpoint_duration = Seconds(reader->RequiredNumber("stashS", 0, kMaxSeconds));
+  if (Find(v, "dueS")) s.deadline = Seconds(reader->RequiredNumber("dueS", 0, kMaxSeconds));
   return s;
 }
 
-bool ParseTask(const std::string& name, TaskRef* out) {
+bool ParseTaskRef(const std::string& name, TaskRef* out) {
   const size_t slash = name.rfind('/');
   if (slash == std::string::npos || slash + 1 >= name.size() || name.size() - slash > 8) {
     return false;
@@ -136,7 +139,7 @@
   return true;
 }
 
-TaskPhase ParseRunState(const std::string& s) {
+TaskPhase ParseTaskPhase(const std::string& s) {
   if (s == "fetching") return TaskPhase::kFetchingImage;
   if (s == "gathering") return TaskPhase::kWaitingForGang;
   if (s == "flushing") return TaskPhase::kCheckpointing;
@@ -144,7 +147,7 @@
   return TaskPhase::kRunning;
 }
 
-ExitReason ParseCause(const std::string& s) {
+ExitReason ParseExitReason(const std::string& s) {
   if (s == "done") return ExitReason::kDone;
   if (s == "halted") return ExitReason::kStopped;
   if (s == "peers") return ExitReason::kGangMemberLost;
@@ -155,15 +158,16 @@
   return ExitReason::kError;
 }
 
-void PutOrders(Writer* w, const std::vector<Command>& orders) {
+void WriteCommands(Writer* w, const std::vector<Command>& commands) {
   w->Key("orders").BeginList();
-  for (const Command& o : orders) {
+  for (const Command& command : commands) {
     w->Begin();
-    w->Put("verb", o.verb == Command::Verb::kStart  ? "start"
-                   : o.verb == Command::Verb::kStop ? "halt"
-                                                    : "clear");
-    w->Put("leg", o.ref.job + "/" + std::to_string(o.ref.task)).Put("try", o.attempt);
-    if (o.verb == Command::Verb::kStop) w->Put("windDownS", o.grace_period.ToSeconds());
+    w->Put("verb", command.verb == Command::Verb::kStart  ? "start"
+                   : command.verb == Command::Verb::kStop ? "halt"
+                                                          : "clear");
+    w->Put("leg", command.ref.job + "/" + std::to_string(command.ref.task))
+        .Put("try", command.attempt);
+    if (command.verb == Command::Verb::kStop) w->Put("windDownS", command.grace_period.ToSeconds());
     w->End();
   }
   w->EndList();
@@ -190,23 +194,23 @@
     return out;
   }
   out.id = id;
-  Checker checker(doc);
-  JobSpec spec = ReadJob(doc, &checker);
+  FieldReader reader(doc);
+  JobSpec spec = ReadJobSpec(doc, &reader);
   spec.id = id;
   spec.submitted_ms = time_of_day_ms;
-  out.reason = checker.problem();
+  out.reason = reader.error();
   if (out.reason.empty()) out.spec = std::move(spec);
   return out;
 }
 
-std::string FormatAnswer(const ApiResponse& a) {
+std::string FormatAnswer(const ApiResponse& response) {
   Writer w;
   w.Begin();
-  if (a.status == 200 || a.status == 201) {
-    w.Put("nameId", a.job).Put("phase", PhaseName(a.phase));
-    w.Put("done", a.done).Put("running", a.running);
+  if (response.status == 200 || response.status == 201) {
+    w.Put("nameId", response.job).Put("phase", PhaseName(response.phase));
+    w.Put("done", response.done).Put("running", response.running);
   } else {
-    w.Put("error", a.reason);
+    w.Put("error", response.reason);
   }
   return w.End().Done();
 }
@@ -214,70 +218,76 @@
 std::optional<Heartbeat> ParseReport(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return std::nullopt;
-  Heartbeat r;
-  r.machine = Text(doc, "sett");
-  r.endpoint = Text(doc, "endpoint");
-  r.type = Text(doc, "build");
-  r.zone = Text(doc, "yard");
-  r.spot = Flag(doc, "loaners");
-  r.agent_epoch = Count(doc, "tenure");
-  r.sequence = Count(doc, "tally");
-  r.fencing_token = Count(doc, "baton");
+  Heartbeat heartbeat;
+  heartbeat.machine = Text(doc, "sett");
+  heartbeat.endpoint = Text(doc, "endpoint");
+  heartbeat.type = Text(doc, "build");
+  heartbeat.zone = Text(doc, "yard");
+  heartbeat.spot = Flag(doc, "loaners");
+  heartbeat.agent_epoch = Count(doc, "tenure");
+  heartbeat.sequence = Count(doc, "tally");
+  heartbeat.fencing_token = Count(doc, "baton");
   if (const Value* n = Find(doc, "recallS"); n && n->IsNumber())
-    r.preemption_notice = Seconds(n->GetDouble());
-  if (r.machine.empty() || r.machine.size() > kNameLimit || r.agent_epoch == 0) return std::nullopt;
+    heartbeat.preemption_notice = Seconds(n->GetDouble());
+  if (heartbeat.machine.empty() || heartbeat.machine.size() > kMaxNameBytes ||
+      heartbeat.agent_epoch == 0)
+    return std::nullopt;
   if (const Value* legs = List(doc, "legs")) {
-    r.tasks.reserve(legs->Size());
+    heartbeat.tasks.reserve(legs->Size());
     for (const Value& leg : legs->GetArray()) {
       TaskStatus t;
-      if (!ParseTask(Text(leg, "leg"), &t.ref)) continue;
+      if (!ParseTaskRef(Text(leg, "leg"), &t.ref)) continue;
       t.attempt = Count(leg, "try");
-      t.phase = ParseRunState(Text(leg, "phase"));
-      if (t.phase == TaskPhase::kExited) t.exit_reason = ParseCause(Text(leg, "cause"));
+      t.phase = ParseTaskPhase(Text(leg, "phase"));
+      if (t.phase == TaskPhase::kExited) t.exit_reason = ParseExitReason(Text(leg, "cause"));
       t.checkpointed = Flag(leg, "stored");
-      r.tasks.push_back(std::move(t));
+      heartbeat.tasks.push_back(std::move(t));
     }
   }
-  return r;
+  return heartbeat;
 }
 
-std::string FormatCheckinAnswer(const HeartbeatResponse& a) {
+std::string FormatCheckinAnswer(const HeartbeatResponse& response) {
   Writer w;
   w.Begin();
-  if (a.status == 200) {
-    w.Put("baton", a.fencing_token);
-    PutOrders(&w, a.commands);
-  } else if (a.status == 421 && !a.leader.empty()) {
-    w.Put("overseer", a.leader);
+  if (response.status == 200) {
+    w.Put("baton", response.fencing_token);
+    WriteCommands(&w, response.commands);
+  } else if (response.status == 421 && !response.leader.empty()) {
+    w.Put("overseer", response.leader);
   }
   return w.End().Done();
 }
 
-std::string FormatDirect(const CommandRequest& op) {
+std::string FormatDirect(const CommandRequest& request) {
   Writer w;
-  w.Begin().Put("baton", op.fencing_token).Put("tenure", op.agent_epoch);
-  PutOrders(&w, op.commands);
+  w.Begin().Put("baton", request.fencing_token).Put("tenure", request.agent_epoch);
+  WriteCommands(&w, request.commands);
   return w.End().Done();
 }
 
-std::string FormatReport(const Heartbeat& r) {
-  static const char* const kStates[] = {"fetching", "fetching", "gathering",
-                                        "running",  "flushing", "exited"};
-  static const char* const kCauses[] = {"",      "done", "halted", "peers",  "alone",
-                                        "error", "full", "busy",   "unknown"};
+std::string FormatReport(const Heartbeat& heartbeat) {
+  static const char* const kPhaseNames[] = {"fetching", "fetching", "gathering",
+                                            "running",  "flushing", "exited"};
+  static const char* const kExitReasonNames[] = {"",      "done", "halted", "peers",  "alone",
+                                                 "error", "full", "busy",   "unknown"};
   Writer w;
-  w.Begin().Put("sett", r.machine).Put("endpoint", r.endpoint).Put("build", r.type);
-  w.Put("yard", r.zone)
-      .Put("loaners", r.spot)
-      .Put("tenure", r.agent_epoch)
-      .Put("tally", r.sequence);
-  w.Put("baton", r.fencing_token);
-  if (r.preemption_notice) w.Put("recallS", r.preemption_notice->ToSeconds());
+  w.Begin()
+      .Put("sett", heartbeat.machine)
+      .Put("endpoint", heartbeat.endpoint)
+      .Put("build", heartbeat.type);
+  w.Put("yard", heartbeat.zone)
+      .Put("loaners", heartbeat.spot)
+      .Put("tenure", heartbeat.agent_epoch)
+      .Put("tally", heartbeat.sequence);
+  w.Put("baton", heartbeat.fencing_token);
+  if (heartbeat.preemption_notice) w.Put("recallS", heartbeat.preemption_notice->ToSeconds());
   w.Key("legs").BeginList();
-  for (const TaskStatus& t : r.tasks) {
+  for (const TaskStatus& t : heartbeat.tasks) {
     w.Begin().Put("leg", t.ref.job + "/" + std::to_string(t.ref.task)).Put("try", t.attempt);
-    w.Put("phase", kStates[static_cast<size_t>(t.phase)]);
-    if (t.phase == TaskPhase::kExited) w.Put("cause", kCauses[static_cast<size_t>(t.exit_reason)]);
+    w.Put("phase", kPhaseNames[static_cast<size_t>(t.phase)]);
+    if (t.phase == TaskPhase::kExited)
+      w.Put("cause", kExitReasonNames[static_cast<size_t>(t.exit_reason)]);
     if (t.checkpointed) w.Put("stored", true);
     w.End();
   }
@@ -286,26 +296,26 @@
 
 namespace {
 
-std::vector<Command> ParseOrders(const Value& doc) {
+std::vector<Command> ParseCommands(const Value& doc) {
   std::vector<Command> out;
   const Value* list = List(doc, "orders");
   if (!list) return out;
   for (const Value& v : list->GetArray()) {
-    Command o;
+    Command command;
     const std::string verb = Text(v, "verb");
-    if (!ParseTask(Text(v, "leg"), &o.ref)) continue;
-    o.attempt = Count(v, "try");
-    o.grace_period = Seconds(Number(v, "windDownS"));
+    if (!ParseTaskRef(Text(v, "leg"), &command.ref)) continue;
+    command.attempt = Count(v, "try");
+    command.grace_period = Seconds(Number(v, "windDownS"));
     if (verb == "start") {
-      o.verb = Command::Verb::kStart;
+      command.verb = Command::Verb::kStart;
     } else if (verb == "halt") {
-      o.verb = Command::Verb::kStop;
+      command.verb = Command::Verb::kStop;
     } else if (verb == "clear") {
-      o.verb = Command::Verb::kForget;
+      command.verb = Command::Verb::kForget;
     } else {
       continue;
     }
-    out.push_back(std::move(o));
+    out.push_back(std::move(command));
   }
   return out;
 }
@@ -313,27 +323,27 @@
 }  // namespace
 
 HeartbeatResponse ParseCheckinAnswer(int status, std::string_view body) {
-  HeartbeatResponse a;
-  a.status = status;
+  HeartbeatResponse response;
+  response.status = status;
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) {
-    if (status == 200) a.status = 0;
-    return a;
+    if (status == 200) response.status = 0;
+    return response;
   }
-  a.fencing_token = Count(doc, "baton");
-  a.leader = Text(doc, "overseer");
-  a.commands = ParseOrders(doc);
-  return a;
+  response.fencing_token = Count(doc, "baton");
+  response.leader = Text(doc, "overseer");
+  response.commands = ParseCommands(doc);
+  return response;
 }
 
 std::optional<CommandRequest> ParseDirect(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc) || !Find(doc, "baton") || !Find(doc, "tenure")) return std::nullopt;
-  CommandRequest op;
-  op.fencing_token = Count(doc, "baton");
-  op.agent_epoch = Count(doc, "tenure");
-  op.commands = ParseOrders(doc);
-  return op;
+  CommandRequest request;
+  request.fencing_token = Count(doc, "baton");
+  request.agent_epoch = Count(doc, "tenure");
+  request.commands = ParseCommands(doc);
+  return request;
 }
 
 }  // namespace badgershore::wire
--- a/src/wire/platform_messages.cpp
+++ b/src/wire/platform_messages.cpp
@@ -16,20 +16,20 @@
   return e;
 }
 
-std::string FormatRent(const CloudRequest& op) {
+std::string FormatScaleOut(const CloudRequest& request) {
   Writer w;
-  w.Begin().Put("hire", op.request_name).Put("build", op.type).Put("yard", op.zone);
-  return w.Put("loaners", op.spot).Put("number", op.count).End().Done();
+  w.Begin().Put("hire", request.request_name).Put("build", request.type).Put("yard", request.zone);
+  return w.Put("loaners", request.spot).Put("number", request.count).End().Done();
 }
 
-std::string FormatReturn(const CloudRequest& op) {
+std::string FormatScaleIn(const CloudRequest& request) {
   Writer w;
   w.Begin().Key("setts").BeginList();
-  for (const std::string& m : op.machines) w.Str(m);
+  for (const std::string& m : request.machines) w.Str(m);
   return w.EndList().End().Done();
 }
 
-bool ParseTypes(std::string_view body, CloudResponse* reply) {
+bool ParseMachineTypes(std::string_view body, CloudResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* builds = List(doc, "builds");
@@ -50,23 +50,23 @@
         if (y.IsString()) t.zones.emplace_back(y.GetString(), y.GetStringLength());
       }
     }
-    reply->types.push_back(std::move(t));
+    response->types.push_back(std::move(t));
   }
-  return !reply->types.empty();
+  return !response->types.empty();
 }
 
-bool ParseRented(std::string_view body, CloudResponse* reply) {
+bool ParseCreatedInstances(std::string_view body, CloudResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* names = List(doc, "setts");
   if (!names) return false;
   for (const Value& n : names->GetArray()) {
-    if (n.IsString()) reply->created.emplace_back(n.GetString(), n.GetStringLength());
+    if (n.IsString()) response->created.emplace_back(n.GetString(), n.GetStringLength());
   }
   return true;
 }
 
-bool ParseListed(std::string_view body, CloudResponse* reply) {
+bool ParseInstances(std::string_view body, CloudResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* list = List(doc, "setts");
@@ -83,59 +83,59 @@
               : phase == "failed" ? CloudInstance::Phase::kFailed
                                   : CloudInstance::Phase::kStarting;
     m.age = Seconds(Number(v, "heldS"));
-    if (!m.id.empty()) reply->instances.push_back(std::move(m));
+    if (!m.id.empty()) response->instances.push_back(std::move(m));
   }
-  reply->has_more = Flag(doc, "truncated");
+  response->has_more = Flag(doc, "truncated");
   return true;
 }
 
-std::string FormatCommit(const StateRequest& op) {
+std::string FormatCompareAndSwap(const StateRequest& request) {
   Writer w;
   w.Begin().Key("guards").BeginList();
-  for (const Precondition& g : op.preconditions)
-    w.Begin().Put("path", g.key).Put("stamp", g.version).End();
+  for (const Precondition& precondition : request.preconditions)
+    w.Begin().Put("path", precondition.key).Put("stamp", precondition.version).End();
   w.EndList().Key("then").BeginList();
-  for (const Mutation& c : op.mutations) {
+  for (const Mutation& mutation : request.mutations) {
     w.Begin();
-    if (c.is_delete) {
-      w.Put("delete", c.key);
+    if (mutation.is_delete) {
+      w.Put("delete", mutation.key);
     } else {
-      w.Put("put", c.key).Key("value");
-      PutRecord(&w, c.value);
-      if (c.lease != 0) w.Put("tenancy", c.lease);
+      w.Put("put", mutation.key).Key("value");
+      PutRecord(&w, mutation.value);
+      if (mutation.lease != 0) w.Put("tenancy", mutation.lease);
     }
     w.End();
   }
   return w.EndList().End().Done();
 }
 
-std::string FormatGrant(const StateRequest& op) {
+std::string FormatGrantLease(const StateRequest& request) {
   Writer w;
-  return w.Begin().Put("lifeMs", op.duration.ToMillis()).End().Done();
+  return w.Begin().Put("lifeMs", request.duration.ToMillis()).End().Done();
 }
 
-bool ParseEntry(std::string_view body, StateResponse* reply) {
+bool ParseEntry(std::string_view body, StateResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
-  reply->entries.push_back(ReadEntry(doc));
-  return reply->entries.back().version != 0;
+  response->entries.push_back(ReadEntry(doc));
+  return response->entries.back().version != 0;
 }
 
-bool ParseEntries(std::string_view body, StateResponse* reply) {
+bool ParseEntries(std::string_view body, StateResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
   const Value* list = List(doc, "entries");
   if (!list) return false;
-  for (const Value& v : list->GetArray()) reply->entries.push_back(ReadEntry(v));
-  reply->has_more = Flag(doc, "truncated");
-  reply->revision = Count(doc, "epoch");
+  for (const Value& v : list->GetArray()) response->entries.push_back(ReadEntry(v));
+  response->has_more = Flag(doc, "truncated");
+  response->revision = Count(doc, "epoch");
   return true;
 }
 
-bool ParseChanges(std::string_view body, StateResponse* reply) {
+bool ParseChanges(std::string_view body, StateResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
-  reply->revision = Count(doc, "epoch");
+  response->revision = Count(doc, "epoch");
   const Value* list = List(doc, "log");
   if (!list) return true;
   for (const Value& v : list->GetArray()) {
@@ -146,155 +146,158 @@
     if (const Value* value = Find(v, "value"); value && !e.deleted) {
       e.value = ReadRecord(e.key, *value);
     }
-    reply->entries.push_back(std::move(e));
+    response->entries.push_back(std::move(e));
   }
   return true;
 }
 
-bool ParseCommit(std::string_view body, StateResponse* reply) {
+bool ParseCompareAndSwap(std::string_view body, StateResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
-  reply->revision = Count(doc, "epoch");
+  response->revision = Count(doc, "epoch");
   if (const Value* failed = List(doc, "failed")) {
     for (const Value& f : failed->GetArray()) {
-      if (f.IsString()) reply->failed_keys.emplace_back(f.GetString(), f.GetStringLength());
+      if (f.IsString()) response->failed_keys.emplace_back(f.GetString(), f.GetStringLength());
     }
   }
   return true;
 }
 
-bool ParseGrant(std::string_view body, StateResponse* reply) {
+bool ParseGrantLease(std::string_view body, StateResponse* response) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return false;
-  reply->lease = Count(doc, "tenancy");
-  return reply->lease != 0;
+  response->lease = Count(doc, "tenancy");
+  return response->lease != 0;
 }
 
 }  // namespace
 
-Call FormatCloudCall(const CloudRequest& op) {
-  Call c;
-  c.timeout = Seconds(4);
-  switch (op.kind) {
+Call FormatCloudCall(const CloudRequest& request) {
+  Call call;
+  call.timeout = Seconds(4);
+  switch (request.kind) {
     case CloudRequest::Kind::kListMachineTypes:
-      c.target = "/flavors";
+      call.target = "/flavors";
       break;
     case CloudRequest::Kind::kListInstances:
-      c.target = "/rentals?limit=500";
-      if (!op.start_after.empty()) c.target += "&since=" + op.start_after;
+      call.target = "/rentals?limit=500";
+      if (!request.start_after.empty()) call.target += "&since=" + request.start_after;
       break;
     case CloudRequest::Kind::kScaleOut:
-      c.method = "POST";
-      c.target = "/rentals";
-      c.body = FormatRent(op);
+      call.method = "POST";
+      call.target = "/rentals";
+      call.body = FormatScaleOut(request);
       break;
     case CloudRequest::Kind::kScaleIn:
-      c.method = "POST";
-      c.target = "/rentals/return";
-      c.body = FormatReturn(op);
+      call.method = "POST";
+      call.target = "/rentals/return";
+      call.body = FormatScaleIn(request);
       break;
   }
-  return c;
+  return call;
 }
 
-CloudResponse ParseCloudAnswer(const CloudRequest& op, int status, std::string_view body) {
+CloudResponse ParseCloudAnswer(const CloudRequest& request, int status, std::string_view body) {
   using Outcome = CloudResponse::Outcome;
-  CloudResponse reply;
+  CloudResponse response;
   if (status == 200) {
-    bool good = true;
-    if (op.kind == CloudRequest::Kind::kListMachineTypes) good = ParseTypes(body, &reply);
-    if (op.kind == CloudRequest::Kind::kListInstances) good = ParseListed(body, &reply);
-    if (op.kind == CloudRequest::Kind::kScaleOut) good = ParseRented(body, &reply);
-    reply.outcome = good ? Outcome::kOk : Outcome::kUnknown;
+    bool valid = true;
+    if (request.kind == CloudRequest::Kind::kListMachineTypes)
+      valid = ParseMachineTypes(body, &response);
+    if (request.kind == CloudRequest::Kind::kListInstances) valid = ParseInstances(body, &response);
+    if (request.kind == CloudRequest::Kind::kScaleOut)
+      valid = ParseCreatedInstances(body, &response);
+    response.outcome = valid ? Outcome::kOk : Outcome::kUnknown;
   } else if (status == 503 && body.find("no capacity") != std::string_view::npos) {
-    reply.outcome = Outcome::kNoCapacity;
+    response.outcome = Outcome::kNoCapacity;
   } else if (status == 400) {
-    reply.outcome = Outcome::kInvalid;
+    response.outcome = Outcome::kInvalid;
   } else {
-    reply.outcome = Outcome::kThrottled;
+    response.outcome = Outcome::kThrottled;
   }
-  return reply;
+  return response;
 }
 
-Call FormatStateCall(const StateRequest& op) {
+Call FormatStateCall(const StateRequest& request) {
   using Kind = StateRequest::Kind;
-  Call c;
-  c.timeout = Millis(1500);
-  switch (op.kind) {
+  Call call;
+  call.timeout = Millis(1500);
+  switch (request.kind) {
     case Kind::kGet:
-      c.target = "/store/" + op.key;
+      call.target = "/store/" + request.key;
       break;
     case Kind::kList:
-      c.target = "/store?starts=" + op.key + "&limit=500";
-      if (!op.start_after.empty()) c.target += "&since=" + op.start_after;
-      c.timeout = Seconds(4);
+      call.target = "/store?starts=" + request.key + "&limit=500";
+      if (!request.start_after.empty()) call.target += "&since=" + request.start_after;
+      call.timeout = Seconds(4);
       break;
     case Kind::kCompareAndSwap:
-      c.method = "POST";
-      c.target = "/commit";
-      c.body = FormatCommit(op);
+      call.method = "POST";
+      call.target = "/commit";
+      call.body = FormatCompareAndSwap(request);
       break;
     case Kind::kGrantLease:
-      c.method = "POST";
-      c.target = "/grants";
-      c.body = FormatGrant(op);
-      c.timeout = Millis(1000);
+      call.method = "POST";
+      call.target = "/grants";
+      call.body = FormatGrantLease(request);
+      call.timeout = Millis(1000);
       break;
     case Kind::kRenewLease:
-      c.method = "POST";
-      c.target = "/grants/" + std::to_string(op.lease) + "/touch";
-      c.body = "{}";
-      c.timeout = Millis(1000);
+      call.method = "POST";
+      call.target = "/grants/" + std::to_string(request.lease) + "/touch";
+      call.body = "{}";
+      call.timeout = Millis(1000);
       break;
     case Kind::kRevokeLease:
-      c.method = "DELETE";
-      c.target = "/grants/" + std::to_string(op.lease);
-      c.timeout = Millis(1000);
+      call.method = "DELETE";
+      call.target = "/grants/" + std::to_string(request.lease);
+      call.timeout = Millis(1000);
       break;
     case Kind::kWatch:
-      c.target = "/changes?starts=" + op.key + "&since=" + std::to_string(op.revision) +
-                 "&waitMs=" + std::to_string(op.duration.ToMillis());
+      call.target = "/changes?starts=" + request.key +
+                    "&since=" + std::to_string(request.revision) +
+                    "&waitMs=" + std::to_string(request.duration.ToMillis());
       // A short watch is repeated soon, so it gets a shorter timeout.
-      c.timeout = op.duration + (op.duration < Seconds(2) ? Seconds(1) : Seconds(3));
+      call.timeout = request.duration + (request.duration < Seconds(2) ? Seconds(1) : Seconds(3));
       break;
   }
-  return c;
+  return call;
 }
 
-StateResponse ParseStateAnswer(const StateRequest& op, int status, std::string_view body) {
+StateResponse ParseStateAnswer(const StateRequest& request, int status, std::string_view body) {
   using Kind = StateRequest::Kind;
   using Outcome = StateResponse::Outcome;
-  StateResponse reply;
-  bool good = true;
+  StateResponse response;
+  bool valid = true;
   switch (status) {
     case 200:
-      reply.outcome = Outcome::kOk;
-      if (op.kind == Kind::kGet) good = ParseEntry(body, &reply);
-      if (op.kind == Kind::kList) good = ParseEntries(body, &reply);
-      if (op.kind == Kind::kCompareAndSwap) good = ParseCommit(body, &reply);
-      if (op.kind == Kind::kGrantLease) good = ParseGrant(body, &reply);
-      if (op.kind == Kind::kWatch) good = ParseChanges(body, &reply);
-      if (!good) reply.outcome = Outcome::kUnknown;
+      response.outcome = Outcome::kOk;
+      if (request.kind == Kind::kGet) valid = ParseEntry(body, &response);
+      if (request.kind == Kind::kList) valid = ParseEntries(body, &response);
+      if (request.kind == Kind::kCompareAndSwap) valid = ParseCompareAndSwap(body, &response);
+      if (request.kind == Kind::kGrantLease) valid = ParseGrantLease(body, &response);
+      if (request.kind == Kind::kWatch) valid = ParseChanges(body, &response);
+      if (!valid) response.outcome = Outcome::kUnknown;
       break;
     case 404:
-      reply.outcome = Outcome::kNotFound;
+      response.outcome = Outcome::kNotFound;
       break;
     case 409:
-      reply.outcome = Outcome::kConflict;
-      ParseCommit(body, &reply);
+      response.outcome = Outcome::kConflict;
+      ParseCompareAndSwap(body, &response);
       break;
     case 410:
-      reply.outcome = Outcome::kCompacted;
+      response.outcome = Outcome::kCompacted;
       break;
     case 429:
     case 503:
-      reply.outcome = Outcome::kRefused;
-      reply.rate_limited = status == 429;
+      response.outcome = Outcome::kRefused;
+      response.rate_limited = status == 429;
       break;
     default:
-      reply.outcome = status >= 200 && status < 300 ? Outcome::kOk : Outcome::kInvalid;
+      response.outcome = status >= 200 && status < 300 ? Outcome::kOk : Outcome::kInvalid;
   }
-  return reply;
+  return response;
 }
 
 }  // namespace badgershore::wire
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -3,7 +3,7 @@
 namespace badgershore::wire {
 namespace {
 
-void PutResources(Writer* w, const Resources& r) {
+void WriteResources(Writer* w, const Resources& r) {
   w->Put("cpu", r.cpu).Put("gpu", r.gpu).Put("mem", r.mem);
 }
 
@@ -12,13 +12,13 @@
           static_cast<int64_t>(Number(v, "mem"))};
 }
 
-void PutList(Writer* w, const char* key, const std::vector<std::string>& list) {
+void WriteStrings(Writer* w, const char* key, const std::vector<std::string>& list) {
   w->Key(key).BeginList();
   for (const std::string& s : list) w->Str(s);
   w->EndList();
 }
 
-std::vector<std::string> ReadList(const Value& v) {
+std::vector<std::string> ReadStrings(const Value& v) {
   std::vector<std::string> out;
   if (!v.IsArray()) return out;
   for (const Value& s : v.GetArray()) {
@@ -32,7 +32,7 @@
 }
 
 // Writes units by team, as arrays in the order of limits::ResourceKind.
-void PutAmounts(Writer* w, const char* key, const limits::TeamAmounts& amounts) {
+void WriteTeamAmounts(Writer* w, const char* key, const limits::TeamAmounts& amounts) {
   w->Key(key).Begin();
   for (const auto& [team, amounts] : amounts) {
     w->Key(team.c_str()).BeginList();
@@ -42,7 +42,7 @@
   w->End();
 }
 
-struct PutVisitor {
+struct RecordWriter {
   Writer* w;
   void operator()(const std::monostate&) const {}
   void operator()(const TermRecord& r) const { w->Put("term", r.term).Put("leader", r.leader); }
@@ -68,37 +68,37 @@
   void operator()(const TypeCountRecord& r) const { w->Put("count", r.count); }
   void operator()(const limits::QuotaRecord& r) const {
     w->Put("number", r.number);
-    PutAmounts(w, "held", r.held);
-    PutAmounts(w, "whole", r.totals);
+    WriteTeamAmounts(w, "held", r.held);
+    WriteTeamAmounts(w, "whole", r.totals);
     w->Key("accounts").Begin();
     for (const auto& [cell, a] : r.accounts) {
       w->Key(cell.c_str()).Begin().Put("sent", a.sent).Put("taken", a.received);
       w->Put("nonce", a.nonce);
       if (a.closed) w->Put("closed", true);
-      if (!a.in_transit.empty()) PutAmounts(w, "under_way", a.in_transit);
-      if (!a.net_sent.empty()) PutAmounts(w, "net", a.net_sent);
+      if (!a.in_transit.empty()) WriteTeamAmounts(w, "under_way", a.in_transit);
+      if (!a.net_sent.empty()) WriteTeamAmounts(w, "net", a.net_sent);
       w->End();
     }
     w->End();
     if (r.inherited.empty()) return;
     std::vector<std::string> cells;
     for (const auto& [cell, yes] : r.inherited) cells.push_back(cell);
-    PutList(w, "inherited", cells);
+    WriteStrings(w, "inherited", cells);
   }
   void operator()(const MachineType& r) const {
     w->Put("name", r.name);
-    PutResources(w, r.size);
+    WriteResources(w, r.size);
     w->Put("cache", r.image_cache_gb).Put("fetch", r.fetch_gb_per_s).Put("price", r.price);
     w->Put("spot_price", r.spot_price).Put("boot_us", r.boot.count);
-    PutList(w, "zones", r.zones);
+    WriteStrings(w, "zones", r.zones);
   }
   void operator()(const JobSpec& r) const {
     w->Put("id", r.id).Put("lane", r.job_class).Put("team", r.team);
     w->Put("shape", static_cast<int>(r.kind)).Put("rank", static_cast<int>(r.priority));
     w->Put("tasks", r.tasks);
-    PutResources(w, r.need);
+    WriteResources(w, r.need);
     w->Put("image", r.image).Put("image_gb", r.image_gb);
-    if (r.machine_types) PutList(w, "types", *r.machine_types);
+    if (r.machine_types) WriteStrings(w, "types", *r.machine_types);
     if (r.zone) w->Put("zone", *r.zone);
     w->Put("same_zone", r.same_zone).Put("spread", r.spread).Put("spot_ok", r.allow_spot);
     w->Put("estimate_us", r.estimated_runtime.count)
@@ -109,7 +109,7 @@
   }
 };
 
-limits::TeamAmounts ReadAmounts(const Value& v, const char* key) {
+limits::TeamAmounts ReadTeamAmounts(const Value& v, const char* key) {
   limits::TeamAmounts out;
   const Value* teams = Find(v, key);
   if (!teams || !teams->IsObject()) return out;
@@ -125,11 +125,11 @@
   return out;
 }
 
-limits::QuotaRecord ReadEscrow(const Value& v) {
+limits::QuotaRecord ReadQuotaRecord(const Value& v) {
   limits::QuotaRecord r;
   r.number = Count(v, "number");
-  r.held = ReadAmounts(v, "held");
-  r.totals = ReadAmounts(v, "whole");
+  r.held = ReadTeamAmounts(v, "held");
+  r.totals = ReadTeamAmounts(v, "whole");
   if (const Value* accounts = Find(v, "accounts"); accounts && accounts->IsObject()) {
     for (const auto& a : accounts->GetObject()) {
       limits::TransferAccount& account = r.accounts[a.name.GetString()];
@@ -137,21 +137,21 @@
       account.received = Count(a.value, "taken");
       account.nonce = Count(a.value, "nonce");
       account.closed = Flag(a.value, "closed");
-      account.in_transit = ReadAmounts(a.value, "under_way");
-      account.net_sent = ReadAmounts(a.value, "net");
+      account.in_transit = ReadTeamAmounts(a.value, "under_way");
+      account.net_sent = ReadTeamAmounts(a.value, "net");
     }
   }
   if (const Value* cells = Find(v, "inherited")) {
-    for (const std::string& cell : ReadList(*cells)) r.inherited[cell] = true;
+    for (const std::string& cell : ReadStrings(*cells)) r.inherited[cell] = true;
   }
   return r;
 }
 
-bool Starts(const std::string& key, const std::string& prefix) {
+bool HasPrefix(const std::string& key, const std::string& prefix) {
   return key.compare(0, prefix.size(), prefix) == 0;
 }
 
-JobSpec ReadJob(const Value& v) {
+JobSpec ReadJobSpec(const Value& v) {
   JobSpec s;
   s.id = Text(v, "id");
   s.job_class = Text(v, "lane");
@@ -162,7 +162,7 @@
   s.need = ReadResources(v);
   s.image = Text(v, "image");
   s.image_gb = Number(v, "image_gb");
-  if (const Value* types = Find(v, "types")) s.machine_types = ReadList(*types);
+  if (const Value* types = Find(v, "types")) s.machine_types = ReadStrings(*types);
   if (Find(v, "zone")) s.zone = Text(v, "zone");
   s.same_zone = Flag(v, "same_zone");
   s.spread = Flag(v, "spread");
@@ -179,7 +179,7 @@
 
 void PutRecord(Writer* w, const Record& record) {
   w->Begin();
-  std::visit(PutVisitor{w}, record);
+  std::visit(RecordWriter{w}, record);
   w->End();
 }
 
@@ -188,9 +188,9 @@
   if (key == keys::kTerm) return TermRecord{Count(v, "term"), Text(v, "leader")};
   if (key == keys::kLeader || key == keys::kSuccessor)
     return LeaderRecord{Text(v, "leader"), Count(v, "term")};
-  if (key == keys::kEscrow) return ReadEscrow(v);
+  if (key == keys::kEscrow) return ReadQuotaRecord(v);
   if (key == keys::kTypes) return TypeCountRecord{static_cast<int>(Number(v, "count"))};
-  if (Starts(key, keys::kType)) {
+  if (HasPrefix(key, keys::kType)) {
     MachineType t;
     t.name = Text(v, "name");
     t.size = ReadResources(v);
@@ -199,14 +199,14 @@
     t.price = Number(v, "price");
     t.spot_price = Number(v, "spot_price");
     t.boot = ReadMicros(v, "boot_us");
-    if (const Value* zones = Find(v, "zones")) t.zones = ReadList(*zones);
+    if (const Value* zones = Find(v, "zones")) t.zones = ReadStrings(*zones);
     return t;
   }
-  if (Starts(key, keys::kJob)) return ReadJob(v);
-  if (Starts(key, keys::kJobEnd)) {
+  if (HasPrefix(key, keys::kJob)) return ReadJobSpec(v);
+  if (HasPrefix(key, keys::kJobEnd)) {
     return JobEndRecord{Text(v, "end") == "withdrawn", static_cast<int>(Number(v, "tasks"))};
   }
-  if (Starts(key, keys::kProgress)) {
+  if (HasPrefix(key, keys::kProgress)) {
     ProgressPage page;
     const Value* pieces = Find(v, "pieces");
     if (!pieces || !pieces->IsArray()) return page;
@@ -216,7 +216,7 @@
     }
     return page;
   }
-  if (Starts(key, keys::kFleet)) {
+  if (HasPrefix(key, keys::kFleet)) {
     FleetPage page;
     const Value* machines = Find(v, "machines");
     if (!machines || !machines->IsArray()) return page;
--- a/src/wire/store_messages.h
+++ b/src/wire/store_messages.h
@@ -22,12 +22,12 @@
   int status = 503;
   std::string body;
 };
-StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Response& answer);
+StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Response& response);
 
 // Lines of dumps and snapshots, each with one JSON object.
 std::string FormatItemLine(const std::string& key, const store::VersionedValue& item);
-std::string FormatLeaseLine(uint64_t id, Micros life);
-std::string FormatChangeLine(const store::ChangeLogEntry& row);
+std::string FormatLeaseLine(uint64_t id, Micros duration);
+std::string FormatChangeLine(const store::ChangeLogEntry& entry);
 std::string FormatHeadLine(const store::StateImage& image);
 // Adds the content of a line to the image. Returns false if the line is invalid.
 bool ReadLine(std::string_view line, store::StateImage* image);
