--- a/src/check/cancel_model.h
+++ b/src/check/cancel_model.h
@@ -1,7 +1,8 @@
-// What a cell's controllers let live and start, as it ships (core/election, core/outbox), around
-// one worker with one task of one job, which somebody cancels. The state service refuses one
-// controller, is down for all, or keeps the answers to lists and watches back; the worker goes from
-// one controller to the other; controllers end. Explored: every order of these, a second at a time.
+// Explores which tasks a cell's controllers keep running and start (the production code of
+// core/election and core/outbox) with one agent and one task of one job, which is cancelled. The
+// state service refuses one controller, is down for all, or withholds responses to lists and
+// watches; the agent switches to the other controller; controllers restart. Explores every order of
+// these events; time advances by a second at a time.
 #pragma once
 
 #include <string>
@@ -13,16 +14,16 @@
 
 enum class PlantedInAuthority {
   kNone,
-  kRenewalIsKnowledge,  // counted from the lease's renewal
-  kUnreadAnswers,       // reports are answered before the jobs are read
-  kArrivalIsKnowledge,  // counted from when a watch's answer came
-  kNoHaltInGreeting     // the first answer of a term stops nothing
+  kRenewalIsKnowledge,  // job records count as current since the leader's last lease renewal
+  kUnreadAnswers,       // heartbeats are answered before the job records are read
+  kArrivalIsKnowledge,  // job records count as current since a watch response arrived
+  kNoHaltInGreeting     // the first heartbeat response of a term stops no task
 };
 
 struct CancelPlan {
-  int seconds = 16, troubles = 4;  // troubles: changes of who is served, heard or there
+  int seconds = 16, troubles = 4;  // bounds on simulated time and on the number of faults
   PlantedInAuthority planted = PlantedInAuthority::kNone;
-  std::vector<std::string> first;  // what happens before the exploration begins
+  std::vector<std::string> first;  // events applied before the exploration
 };
 
 Replayed CancelModel(const CancelPlan& plan);
--- a/src/check/election_model.cpp
+++ b/src/check/election_model.cpp
@@ -16,8 +16,8 @@
   struct Node {
     std::unique_ptr<Outbox> outbox;
     std::unique_ptr<Election> election;
-    std::vector<StateRequest> late;                         // sent, not carried out yet
-    std::vector<std::pair<RequestId, StateResponse>> held;  // carried out, not answered yet
+    std::vector<StateRequest> late;                         // sent, not executed yet
+    std::vector<std::pair<RequestId, StateResponse>> held;  // executed, not answered yet
     std::vector<StateRequest> watches;
     bool retiring = false;
   };
@@ -30,7 +30,6 @@
   }
 
   std::string Name(size_t i) const { return std::string(1, static_cast<char>('a' + i)); }
-  // The clock of a node.
   Micros Clock(size_t i) const {
     return plan.planted == PlantedInLease::kSlowClock && i == 0 ? now.Scaled(0.3) : now;
   }
@@ -52,7 +51,7 @@
   }
 
   enum class How { kAtOnce, kLateAnswer, kLateRequest, kLost };
-  // What the node asks is carried out and answered as `how` says; watches have their own turn.
+  // Executes and answers the node's requests as `how` says. Watches are answered by News.
   void Serve(size_t i, How how) {
     Node& n = nodes[i];
     for (int round = 0; round < 6; ++round) {
@@ -106,7 +105,7 @@
     Node& n = nodes[i];
     if (what == "ends") {
       ++ends;
-      // Back at once. What its last life had under way is carried out at any later time, or never.
+      // It restarts at once. Requests of its previous run are executed at any later time, or never.
       for (StateRequest& op : nodes[i].late) orphans.emplace_back(i, std::move(op));
       Start(i);
       return;
@@ -193,7 +192,7 @@
  private:
   ElectionPlan plan;
   std::vector<Node> nodes;
-  std::vector<std::pair<size_t, StateRequest>> orphans;  // sent by a life that has ended
+  std::vector<std::pair<size_t, StateRequest>> orphans;  // sent by a previous run of a node
   Micros now = Seconds(10);
   int times = 0, ends = 0, lates = 0, losses = 0, retires = 0;
   SmallState state;
--- a/src/check/explore.h
+++ b/src/check/explore.h
@@ -1,8 +1,9 @@
-// Explores every order of events of a pure machine, breadth first, until there is no new state, a
-// state is broken or the bound on states is reached.
+// Explores every order of events of a deterministic model, breadth first, until there is no new
+// state, a state violates an invariant or the bound on states is reached.
 //
-// World is copied for each step and gives: Events(), what may happen next, by name; Happen(event);
-// Key(), equal for equal states; Broken(), empty or what rule is broken.
+// World is copied for each step and has: Events(), the names of the events that are possible next;
+// Happen(event), which applies one; Key(), equal for equal states; Broken(), the violated invariant
+// or empty.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +18,8 @@
 
 namespace badgershore::check {
 
-// Code under test that can't be copied is played again: a world of it is the list of its events.
+// A model around code under test that can't be copied: Replayed keeps the list of events and
+// replays them.
 class Play {
  public:
   virtual ~Play() = default;
@@ -50,15 +52,15 @@
   }
   std::function<std::unique_ptr<Play>()> begin_;
   std::vector<std::string> events_;
-  mutable std::unique_ptr<Play> play_;  // made when it is needed, dropped when the world is copied
+  mutable std::unique_ptr<Play> play_;  // created when needed; not copied
 };
 
 struct Outcome {
   uint64_t states = 0, steps = 0;
-  int depth = 0;                  // every order of so many events was seen
-  bool whole = false;             // there are no more states
-  std::string broken;             // empty: nothing
-  std::vector<std::string> path;  // the events that led there
+  int depth = 0;                  // every order of this many events was explored
+  bool whole = false;             // every reachable state was explored
+  std::string broken;             // the violated invariant; empty: none
+  std::vector<std::string> path;  // the events that led to the violation
 };
 
 template <typename World>
@@ -67,7 +69,7 @@
     size_t before;
     std::string event;
   };
-  std::vector<Step> steps{{0, ""}};  // how each state came about; no world is kept in it
+  std::vector<Step> steps{{0, ""}};  // the step that led to each state; worlds are not kept
   std::unordered_set<uint64_t> seen;
   Outcome out;
   const auto path_to = [&](size_t at) {
@@ -106,9 +108,9 @@
   return out;
 }
 
-// Plays long orders of events that are drawn, where there are too many to see them all. Whatever
-// names no other event than time or a delivery is a fault and drawn seldom. Each walk has its own
-// seed, so one that breaks can be played again.
+// Runs long random orders of events, where there are too many to explore them all. Every event
+// other than time, a delivery or a proposal counts as a fault and is drawn rarely. Each walk has
+// its own seed, so that a violation can be reproduced.
 inline Outcome Walk(const std::function<std::unique_ptr<Play>()>& begin, uint64_t walks, int steps,
                     uint64_t seed) {
   constexpr double kTimeShare = 0.25, kFaultShare = 0.06;
@@ -137,7 +139,7 @@
       out.path = path;
       return out;
     }
-    ++out.states;  // walks that were played to their end
+    ++out.states;  // walks that ran to their end
     out.depth = std::max(out.depth, static_cast<int>(path.size()));
   }
   return out;
--- a/src/check/small_state.h
+++ b/src/check/small_state.h
@@ -1,5 +1,5 @@
-// The state service as the models need it: a few keys, leases, guarded commits, and all changes
-// kept. It is carried out when its caller says so; time is handed in.
+// A minimal state service for the models: a few keys, leases, compare-and-swap, and a log of all
+// changes. A request is executed when the model calls Carry; the caller passes the time.
 #pragma once
 
 #include <map>
@@ -15,8 +15,8 @@
     Record value;
     uint64_t stamp = 0, lease = 0;
   };
-  Micros lease;  // what a renewal gives
-  // Planted faults.
+  Micros lease;  // duration after a renewal
+  // Injected faults.
   Micros ends_early;
   bool no_guards = false, lease_of_name = false;
 
--- a/src/rehearsal/checker.cpp
+++ b/src/rehearsal/checker.cpp
@@ -52,7 +52,7 @@
   if (m.spot && !f.spot_ok) Say(e, "wrong_place", task + " on a spot machine");
   if (!f.zone.empty() && f.zone != m.zone) Say(e, "wrong_place", task + " in zone " + m.zone);
   int there = 1;
-  // Looked at only where it matters: a large job's tasks are many.
+  // Skipped for jobs without a placement rule: a large job has many tasks.
   for (const Place& p : f.same_zone || f.spread ? PlacesOf(*job) : std::vector<Place>()) {
     if (f.same_zone && p.zone != m.zone) Say(e, "wrong_place", task + " apart in " + m.zone);
     there += p.zone == m.zone;
@@ -124,7 +124,7 @@
     case Kind::kNoAnswer:
       if (!job.accepted) return;
       if (job.silent_since < 0) job.silent_since = e.at_us;
-      // Once nothing is wrong any more, however the others fare.
+      // After the last fault, whether or not other users get responses.
       if (bounds_.troubles_over_s > 0 &&
           e.at_us -
                   std::max(job.silent_since, static_cast<int64_t>(bounds_.troubles_over_s * 1e6)) >=
@@ -132,7 +132,7 @@
         Say(e, "forgotten", e.job + " not answered for 75 s after the troubles");
         job.silent_since = e.at_us;
       }
-      // Others must have been answered all the while, not just before it began.
+      // Other users must still be getting responses: else this is an outage.
       if (e.at_us - job.silent_since >= kForgotten && e.at_us - others_answered_at_ < 5 * kSecond) {
         Say(e, "forgotten", e.job + " not answered for 90 s");
         job.silent_since = -1;
@@ -146,7 +146,8 @@
       job.silent_since = -1;
       if (!job.submitted) Say(e, "invented", e.job + " told as " + e.text);
       const bool final = e.text == "done" || e.text == "withdrawn";
-      // What its user asked before it was told the end may have been answered before the end came.
+      // A request that was sent before the user was told the final phase may have been answered
+      // before the job ended.
       const bool asked_before = !final && e.asked_us >= 0 && e.asked_us < job.final_at;
       if (!job.final_phase.empty() && job.final_phase != e.text) {
         if (asked_before) {
--- a/src/rehearsal/clock.h
+++ b/src/rehearsal/clock.h
@@ -1,5 +1,5 @@
-// Simulated time and chance, shared by all that plays in a scenario: one queue of events, one
-// random engine, so that a seed gives the same history to the byte.
+// Simulated time and randomness of a scenario: one event queue and one random engine, so that a
+// seed gives the same history to the byte.
 #pragma once
 
 #include <algorithm>
@@ -38,7 +38,7 @@
 
   Micros now = Seconds(1);
   std::mt19937_64 random;
-  uint64_t order = 0;  // of events; also a source of numbers that are not used twice
+  uint64_t order = 0;  // number of the last event; also a source of unique numbers
 
  private:
   struct Event {
--- a/src/rehearsal/cloud.h
+++ b/src/rehearsal/cloud.h
@@ -1,5 +1,5 @@
-// The cloud as PROTOCOL "Controller nodes -> cloud" has it, emulated: requests in, answers out,
-// and through the callbacks the machines that come and go.
+// Emulates the cloud of PROTOCOL "Controller nodes -> cloud": handles its requests and reports
+// through callbacks which machines start and end.
 #pragma once
 
 #include <functional>
@@ -32,13 +32,14 @@
   };
   Cloud(const Scenario& scenario, uint64_t seed, Hooks hooks);
 
-  // Machines that are up from the beginning.
+  // Starts the machines that are up from the beginning.
   void Begin(Micros now);
   std::pair<int, std::string> Handle(Micros now, const wire::Call& call);
-  void Take(Micros now, const std::string& id);  // by the cloud itself, or a machine's death
+  // Ends a machine: returned by a controller, or reclaimed by the cloud.
+  void Take(Micros now, const std::string& id);
   double Spent(Micros now) const;
 
-  // Troubles.
+  // Injected faults.
   bool down = false, empty = false;
   double vanish_share = 0, never_share = 0;
   const std::map<std::string, Machine>& machines() const { return machines_; }
@@ -54,7 +55,7 @@
   std::mt19937_64 random_;
   Hooks hooks_;
   store::RateLimiter rate_;
-  std::map<std::string, Machine> machines_;  // ever
+  std::map<std::string, Machine> machines_;  // including those that are gone
   std::map<std::string, std::string> hires_;
   int next_ = 0;
 };
--- a/src/rehearsal/service.h
+++ b/src/rehearsal/service.h
@@ -1,4 +1,4 @@
-// How each class of jobs and each team was served in a scenario, from the history alone.
+// Service statistics by team and job class, computed from the history alone.
 #pragma once
 
 #include <cstdint>
@@ -16,10 +16,10 @@
   struct Served {
     int accepted = 0, withdrawn = 0, started = 0, done = 0;
     double latest_start_s = 0, latest_done_s = 0;  // since submission
-    // Of the class' largest jobs, a tenth by the number of tasks, those that were not withdrawn.
+    // The largest tenth of the class' jobs by number of tasks, without cancelled ones.
     int large = 0, large_done = 0;
-    double latest_large_start_s = 0;  // of those that have not begun: until the end
-    // Of the jobs that were not withdrawn, those that were done.
+    double latest_large_start_s = 0;  // for a job that has not started: until the end
+    // The share of jobs without cancellation that were done.
     double share() const {
       const int owed = accepted - withdrawn;
       return owed > 0 ? static_cast<double>(done) / owed : 1;
@@ -33,8 +33,8 @@
   explicit Service(std::map<std::string, Bound> bounds) : bounds_(std::move(bounds)) {}
   void See(const Event& e);
   std::map<Key, Served> Sum(int64_t end_us) const;
-  // Less than half of a team's or class' jobs done, or of its largest; a class later than it may
-  // be, or one of its largest that has not begun within four minutes.
+  // Reports a team and class with less than half of its jobs, or of its largest jobs, done; a class
+  // over its time bounds; and a largest job that has not started within four minutes.
   std::vector<Broken> Failed(int64_t end_us) const;
 
  private:
--- a/src/rehearsal/site.cpp
+++ b/src/rehearsal/site.cpp
@@ -138,7 +138,7 @@
 
 void Site::LoseState(size_t replica, Micros back_after) {
   processes_.Kill(replica, back_after);
-  // Not before its process is gone, which takes a moment after the signal.
+  // Not before its process has exited, which takes a moment after the signal.
   io::Spawn(RemoveStateData(replica));
 }
 
@@ -177,7 +177,7 @@
   io::Slot<std::pair<int, std::string>> slot(loop_);
   wire::Call call{m.method, m.target, m.body, Seconds(5)};
   world_.RunUntil(io::Loop::Now());
-  // The slot may be gone when the answer comes: then nobody is told.
+  // The slot may be destroyed before the response arrives; then the response is dropped.
   auto alive = std::make_shared<bool>(true);
   world_.Receive(host, call, [&slot, alive](int status, const std::string& body) {
     if (*alive) slot.Set({status, body});
@@ -197,7 +197,7 @@
   return started ? server->address() : "127.0.0.1:1";
 }
 
-// Its socket stays open and silent, as a machine that is gone would be.
+// The server keeps running, so that requests to the machine time out, as they do after a loss.
 void Site::CloseMachine(const std::string& id) { connections_.erase(id); }
 
 io::Task<void> Site::Call(std::shared_ptr<http::Client> client, wire::Call call, Reply reply) {
@@ -209,7 +209,8 @@
 }
 
 std::shared_ptr<http::Client> Site::ClientOf(const std::string& from, size_t node) {
-  // The users' load balancer chooses anew for each connection; a worker keeps one, to one node.
+  // The users' load balancer picks a node for each connection; an agent keeps one connection to one
+  // node.
   if (!IsMachine(from)) return std::make_shared<http::Client>(loop_, nodes_[node], 0, kLimits);
   WorkerConnection& connection = connections_[from];
   if (!connection.client || connection.node != node) {
--- a/src/rehearsal/site.h
+++ b/src/rehearsal/site.h
@@ -1,5 +1,5 @@
-// A site of real processes on loopback: the state service and three controllers, with the
-// emulated cloud and machines behind HTTP and one address for users in front.
+// A site of real processes on loopback: the state service and three controllers, with the emulated
+// cloud and machines behind HTTP servers and one address for users.
 #pragma once
 
 #include <memory>
@@ -18,41 +18,41 @@
   std::string dir;       // settings, state and logs
   std::string listen = "127.0.0.1:0";
   uint64_t seed = 1;
-  int state_replicas = 1;          // 1, 3 or 5; each controller asks its own, as far as they go
-  std::string controller_options;  // the operators' own settings (YAML); empty: none
+  int state_replicas = 1;          // 1, 3 or 5; controller i uses replica i modulo this
+  std::string controller_options;  // contents of the options file (YAML); empty: none
 };
 
 class Site : public Outside {
  public:
   Site(io::Loop* loop, Scenario scenario, SiteOptions options);
 
-  // Ends when the scenario is over (`scenario` has jobs of its own) or at Stop; `over` is called
-  // when no process is left.
+  // Runs until the scenario is over, if it has jobs of its own, or until Stop. `over` is called
+  // when all processes have exited.
   [[nodiscard]] badgershore::Result<void> Start(std::function<void()> over);
   void Stop();
   std::string address() const { return relay_.address(); }
   bool ready() const { return relay_.ready(); }
   World& world() { return world_; }
 
-  // What workers, or users, have exchanged with the controllers.
+  // Requests that agents, or users, have sent to the controllers.
   struct Traffic : http::Traffic {
-    stats::Durations waits;  // from asking to the answer
+    stats::Durations waits;  // from request to response
   };
   const Traffic& report_traffic() const { return report_traffic_; }
   const Traffic& user_traffic() const { return user_traffic_; }
   const std::vector<std::string>& node_addresses() const { return nodes_; }
   const std::vector<std::string>& state_addresses() const { return states_; }
-  // The state service's replicas come first, controllers after them.
+  // The replicas of the state service, then the controllers.
   const site::Processes& processes() const { return processes_; }
   std::string ProcessName(size_t child) const;
-  // A replica's machine is lost with its disk; another one with an empty disk takes its place.
+  // Kills a replica and deletes its data; it restarts with an empty disk.
   void LoseState(size_t replica, Micros back_after);
-  // Set before Start.
+  // Must be set before Start.
   std::function<void(const Event&)> on_event;
   void OnProcessEnded(std::function<void(const std::string& name, int status)> told) {
     processes_.on_ended = std::move(told);
   }
-  // What users would see: jobs that live and that are over, machines up and asked for.
+  // Open and finished jobs, and machines that are up and that are starting.
   struct Counts {
     int live = 0, over = 0, up = 0, starting = 0;
     bool operator==(const Counts&) const = default;
--- a/src/rehearsal/users.cpp
+++ b/src/rehearsal/users.cpp
@@ -1,4 +1,4 @@
-// The users of a simulated scenario: they submit, ask, cancel and ask again.
+// The users of a scenario: they submit jobs, query them, cancel them and query them again.
 #include <algorithm>
 
 #include "rehearsal/world.h"
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-// Which jobs there are and how large is the scenario's alone; only when they come is chance.
+// The jobs and their sizes depend on the scenario alone; only their arrival times are random.
 void World::PlanJobs() {
   for (size_t c = 0; c < scenario_.classes.size(); ++c) {
     const JobClass& k = scenario_.classes[c];
@@ -93,7 +93,7 @@
   Later(now_ + Seconds(1), [this, index] { ProbeNode(index); });
 }
 
-// Where the load balancer sends a new connection; anywhere while nobody is healthy.
+// Where the load balancer sends a new connection; a random node while none is healthy.
 std::string World::PickNode() {
   const std::vector<size_t> order = balancer_.Order(now_, clock_.random());
   return "node-" + std::to_string(order.empty() ? clock_.random() % nodes_.size() : order.front());
@@ -112,7 +112,7 @@
         j.accepted = true;
         Later(now_ + Between(1, 5), [this, job] { Poll(job, false); });
         if (look_closely_) LookClosely(job);
-        // Now and then the answer is lost on its way back, and the job is submitted again.
+        // Now and then the response is lost and the job is submitted again.
         if (Chance() < 0.1)
           Later(now_ + Between(1, 30), [this, job, first] { Submit(job, first); });
       }
@@ -155,7 +155,7 @@
         j.rechecked = true;
         return;
       }
-      // It may be asked about at any later time, and must be told the same.
+      // A query at any later time must get the same final phase.
       const Micros next =
           final ? Between(scenario_.recheck_least_s, scenario_.recheck_most_s) : Between(4, 6);
       return Later(now_ + next, [=, this] { Poll(job, final); });
@@ -207,7 +207,7 @@
   Later(now_ + Seconds(29), [this] { AskUnknown(); });
 }
 
-// Whoever asks here does not ask again; what is told counts all the same.
+// A query without a retry; the checker counts its response like any other.
 void World::Ask(const std::string& job, const std::string& node) {
   wire::Call call{"GET", "/work/" + job, "", Seconds(2)};
   const int64_t asked_us = now_.count;
@@ -227,7 +227,8 @@
   });
 }
 
-// At all nodes within milliseconds of an answer, and the submission once more; some cancel at once.
+// Queries all nodes within milliseconds of a response and submits the job again; some cancel at
+// once.
 void World::LookClosely(const std::string& job) {
   for (int round = 0; round < 2; ++round) {
     for (size_t k = 0; k < nodes_.size(); ++k) {
@@ -250,7 +251,7 @@
   };
   if (!open.empty()) Submit(one(open), now_);
   if (!over.empty()) Withdraw(one(over));
-  // One that fits no machine, one that lacks a field, in turn.
+  // Alternates between a job that fits no machine and one that lacks a field.
   char id[48];
   std::snprintf(id, sizeof(id), "job-88%05d", ++odd_jobs_);
   JobSpec spec = scenario_.classes[0].spec;
@@ -260,7 +261,7 @@
   UserJob job;
   job.body = Body(spec);
   if (odd_jobs_ % 2 == 1) job.body.erase(job.body.find(R"("samePlace")"), 18);
-  job.gave_up = true;  // it is not owed anything
+  job.gave_up = true;  // the scenario does not wait for it
   job.facts = {spec.id, spec.team, "odd", 1,     spec.need.cpu, 0,
                "",      false,     false, false, true,          now_.count};
   Event e;
@@ -273,7 +274,7 @@
   Later(now_ + Seconds(1), [this] { RequestOddly(); });
 }
 
-// Of the jobs that run, within a fifth of a second.
+// Cancels `count` running jobs within 0.2 s; up to 8 of their machines hang.
 void World::CallOff(const Trouble& t) {
   std::vector<std::string> running;
   std::map<std::string, std::set<std::string>> where;
--- a/src/rehearsal/work.cpp
+++ b/src/rehearsal/work.cpp
@@ -60,7 +60,8 @@
   });
 }
 
-// A running gang that has lost a member, or was not stopped in order: the rest notice in time.
+// Ends a running gang that has lost a member or was not stopped as a whole: the other members exit
+// within the gang failure timeout.
 void Work::Break(Job* job, uint64_t attempt) {
   Gang& gang = job->gangs[attempt];
   if (std::exchange(gang.broken, true) || !gang.running) return;
@@ -97,7 +98,7 @@
   const Micros now = hooks_.now();
   if (auto it = job.running.find(task); it != job.running.end()) {
     const Micros progress = now - it->second.since + job.saved[task.ref.task];
-    const uint64_t serial = it->second.serial = ++serial_;  // it runs on no more
+    const uint64_t serial = it->second.serial = ++serial_;  // cancels the scheduled completion
     return hooks_.later(now + job.spec.checkpoint_duration,
                         [this, &job, machine, task, serial, progress] {
                           auto it = job.running.find(task);
@@ -118,7 +119,8 @@
     return g == job.gangs.end() || g->second.broken ? nullptr : &g->second;
   };
   if (!std::exchange(gang.stopping, true)) {
-    // All must be told in time, or the save fails.
+    // All members must be told within the gang failure timeout, or the gang falls back to its last
+    // periodic checkpoint.
     const Micros progress = now - gang.since + job.saved[0];
     hooks_.later(now + scenario_.site.gang_failure_timeout,
                  [this, &job, alive, attempt = task.attempt, progress] {
--- a/src/rehearsal/work.h
+++ b/src/rehearsal/work.h
@@ -1,5 +1,5 @@
-// What tasks do on emulated machines: fetch, run, fail, wait for their gang, save. Progress and
-// results outlive the machines.
+// Emulates tasks: they run, fail, wait for their gang and write checkpoints. Checkpoints and
+// results survive the loss of a machine.
 #pragma once
 
 #include <functional>
@@ -20,15 +20,15 @@
   struct Hooks {
     std::function<Micros()> now;
     std::function<void(Micros at, std::function<void()>)> later;
-    // A machine's agent is told; false where the machine is gone.
+    // Notify the machine's agent.
     std::function<void(const std::string& machine, const TaskKey&)> gang_complete;
     std::function<void(const std::string& machine, const TaskKey&, ExitReason, bool saved)> exit;
-    std::function<void(const TaskKey&)> done;  // completed, before any exit is told
+    std::function<void(const TaskKey&)> done;  // called before `exit`
   };
   Work(const Scenario& scenario, uint64_t seed, Hooks hooks)
       : scenario_(scenario), random_(seed), hooks_(std::move(hooks)) {}
 
-  // `mistake`: so much of its tasks fails wherever it is started.
+  // `mistake`: the share of its tasks that fail on every machine.
   void AddJob(const JobSpec& spec, Micros run, double mistake) {
     jobs_[spec.id] = Job{spec, run, mistake, {}, {}, {}, {}};
   }
@@ -36,10 +36,10 @@
     auto it = jobs_.find(job);
     return it == jobs_.end() ? nullptr : &it->second.spec;
   }
-  // `sick`: the machine fails all that it starts.
+  // `sick`: every task that this machine starts fails.
   void Launch(const std::string& machine, const TaskKey& task, bool sick);
   void Save(const std::string& machine, const TaskKey& task);
-  void Kill(const TaskKey& task);  // ended now, by whatever cause
+  void Kill(const TaskKey& task);  // ends it at once; its last periodic checkpoint is kept
   double useful_cpu_s() const { return useful_cpu_s_; }
 
  private:
@@ -48,10 +48,10 @@
     bool saving = false;
     Micros saved_at;
   };
-  struct Gang {  // one attempt
+  struct Gang {  // of one attempt
     std::map<int, Member> members;
     bool running = false, broken = false, stopping = false;
-    Micros since, progress;  // progress: when the first was told to stop
+    Micros since, progress;  // progress: at the time the first member was told to stop
     uint64_t serial = 0;
   };
   struct Running {
@@ -64,7 +64,7 @@
     Micros run;
     double mistake = 0;
     std::set<int> done;
-    std::map<int, Micros> saved;  // an array's task -> progress; a gang's under 0
+    std::map<int, Micros> saved;  // array task -> saved progress; a gang's is under 0
     std::map<TaskKey, Running> running;
     std::map<uint64_t, Gang> gangs;
   };
--- a/tests/election_model_test.cpp
+++ b/tests/election_model_test.cpp
@@ -1,4 +1,4 @@
-// Leadership as it ships, explored around a state service that is late, silent and left early.
+// Explores leader election and the handling of cancellations around a faulty state service.
 #include "check/election_model.h"
 
 #include <gtest/gtest.h>
@@ -44,14 +44,14 @@
         {PlantedInLease::kNoGuards, "commits without guards"},
         {PlantedInLease::kLeaseOfName, "a lease that a new life shares with the last"}}) {
     plan.planted = fault;
-    // The last needs an end, whose request is carried out after the return.
+    // The last fault needs a restart with a request that is executed after it.
     plan.ends = fault == PlantedInLease::kLeaseOfName ? 1 : 0;
     EXPECT_NE(Explored(plan, 60000, name).broken, "") << name;
   }
 }
 
-// Guards against: cancelled work that lives on, or starts again, because a controller that could
-// not know of the cancellation kept its worker's lease alive.
+// Guards against a cancelled task that keeps running, or starts again, because a controller that
+// could not know of the cancellation kept renewing the agent's lease.
 TEST(CancelModel, NothingCancelledIsThereOrStartsPastItsTime) {
   CancelPlan plan;
   plan.troubles = 1;
@@ -94,7 +94,7 @@
     plan.troubles = f.troubles;
     plan.first = f.first;
     EXPECT_NE(ExploredWorld(CancelModel(plan), 60000, f.name).broken, "") << f.name;
-    // The same from there without the fault.
+    // The same start without the fault.
     plan.planted = PlantedInAuthority::kNone;
     EXPECT_EQ(ExploredWorld(CancelModel(plan), 20000, "without").broken, "") << f.name;
   }
--- a/tests/kept_scenario_test.cpp
+++ b/tests/kept_scenario_test.cpp
@@ -1,4 +1,4 @@
-// Every kept scenario is played, and the same seed gives the same history.
+// Runs every kept scenario, and checks that the same seed gives the same history.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -9,7 +9,8 @@
 namespace badgershore::rehearsal {
 namespace {
 
-// Every kept scenario, with a few seeds here (all fifty: docs/results.md): the same end each time.
+// Every kept scenario with three seeds (all fifty: docs/results.md): the same final states each
+// time.
 class KeptScenario : public testing::TestWithParam<std::string> {
  public:
   static const std::vector<std::string>& Names() {
@@ -92,8 +93,8 @@
                            return name;
                          });
 
-// scenarios/ holds only scenarios that `run` plays, each among those above; the site of `up` is
-// built in. Guards against: a site kept there that no run could finish.
+// scenarios/ holds only scenarios that `run` plays, each listed above; the site of `up` is built
+// in. Guards against a site definition in that folder that no run could finish.
 TEST(Scenario, EveryKeptFileIsPlayedAndTheBuiltInSiteIsValid) {
   const auto& played = KeptScenario::Names();
   size_t kept = 0;
@@ -115,8 +116,8 @@
   }
 }
 
-// Guards against: chance from anywhere but the seed (an address, a clock, the order of a hash).
-// The kept hash holds for every build type; a change of the history by design changes it.
+// Guards against randomness from anywhere but the seed (an address, a clock, the order of a hash
+// table). The hash is the same for every build type; an intended change of the history changes it.
 TEST(Scenario, TheSameSeedGivesTheSameHistory) {
   const config::Scenario scenario =
       config::LoadScenario(std::string(BADGERSHORE_SCENARIOS) + "/all-at-once.yaml");
