--- a/src/rehearsal/site.cpp
+++ b/src/rehearsal/site.cpp
@@ -169,7 +169,7 @@
 io::Task<void> Site::RunWorld() {
   while (!stopping_) {
     world_.RunUntil(io::Loop::Now());
-    if (world_.over()) {
+    if (world_.IsOver()) {
       Stop();
       co_return;
     }
--- a/src/rehearsal/troubles.cpp
+++ b/src/rehearsal/troubles.cpp
@@ -7,7 +7,7 @@
 
 void World::InjectFault(const Trouble& t) {
   using Kind = Trouble::Kind;
-  const auto until = [&](std::function<void()> then) { Schedule(now_ + t.span, std::move(then)); };
+  const auto at_end = [&](std::function<void()> then) { Schedule(now_ + t.span, std::move(then)); };
   const auto each_machine = [&](auto then) {
     std::vector<std::string> ids;
     for (const auto& [id, w] : workers_) ids.push_back(id);
@@ -19,16 +19,16 @@
   switch (t.kind) {
     case Kind::kCloudDown:
       cloud_.api_down = true;
-      return until([this] { cloud_.api_down = false; });
+      return at_end([this] { cloud_.api_down = false; });
     case Kind::kCloudEmpty:
       cloud_.no_capacity = true;
-      return until([this] { cloud_.no_capacity = false; });
+      return at_end([this] { cloud_.no_capacity = false; });
     case Kind::kGrantsVanish:
       cloud_.vanish_share = t.share;
-      return until([this] { cloud_.vanish_share = 0; });
+      return at_end([this] { cloud_.vanish_share = 0; });
     case Kind::kBootsNever:
       cloud_.never_boots_share = t.share;
-      return until([this] { cloud_.never_boots_share = 0; });
+      return at_end([this] { cloud_.never_boots_share = 0; });
     case Kind::kSpotWave:
       return each_machine([&](const std::string& id) {
         Worker& w = workers_.at(id);
@@ -42,28 +42,28 @@
       });
     case Kind::kStateDown:
       state_down_ = true;
-      return until([this] {
+      return at_end([this] {
         state_down_ = false;
         if (state_) state_->RenewAllLeases(now_);
       });
     case Kind::kStateMute:
       lost_response_share_ = t.share;
-      return until([this] { lost_response_share_ = 0; });
+      return at_end([this] { lost_response_share_ = 0; });
     case Kind::kStateLate:
       delayed_write_share_ = t.share;
       delayed_writes_until_ = now_ + t.span;
-      return until([this] { delayed_write_share_ = 0; });
+      return at_end([this] { delayed_write_share_ = 0; });
     case Kind::kStateRestart:
       return RestartState(std::max(t.span, Millis(200)));
     case Kind::kDiskFull:
       disk_full_ = true;
-      return until([this] { disk_full_ = false; });
+      return at_end([this] { disk_full_ = false; });
     case Kind::kKill:
       for (size_t i = 0; i < nodes_.size(); ++i) {
         const bool leads = LeaderIndex() == static_cast<int>(i);
         if (t.who == "all" || t.who == NodeName(i) || (t.who == "leader" && leads)) {
-          const Micros usual = RandomDuration(2, 4);
-          KillNode(i, t.span.count > 0 ? t.span : usual);
+          const Micros restart_delay = RandomDuration(2, 4);
+          KillNode(i, t.span.count > 0 ? t.span : restart_delay);
           if (t.who == "leader") break;
         }
       }
@@ -80,22 +80,22 @@
       return;
     case Kind::kStateSlow:
       message_faults_.slow_state_share = t.share;
-      return until([this] { message_faults_.slow_state_share = 0; });
+      return at_end([this] { message_faults_.slow_state_share = 0; });
     case Kind::kLateWrites:
       message_faults_.delayed_write_share = t.share;
-      return until([this] { message_faults_.delayed_write_share = 0; });
+      return at_end([this] { message_faults_.delayed_write_share = 0; });
     case Kind::kLateReports:
       message_faults_.duplicate_heartbeat_share = t.share;
-      return until([this] { message_faults_.duplicate_heartbeat_share = 0; });
+      return at_end([this] { message_faults_.duplicate_heartbeat_share = 0; });
     case Kind::kDeaf:
       return each_machine([&](const std::string& id) {
         message_faults_.cannot_receive.insert(id);
-        until([this, id] { message_faults_.cannot_receive.erase(id); });
+        at_end([this, id] { message_faults_.cannot_receive.erase(id); });
       });
     case Kind::kMute:
       return each_machine([&](const std::string& id) {
         message_faults_.cannot_send.insert(id);
-        until([this, id] { message_faults_.cannot_send.erase(id); });
+        at_end([this, id] { message_faults_.cannot_send.erase(id); });
       });
     case Kind::kHang:
       return each_machine([&](const std::string& id) { HangMachine(id, t.span); });
@@ -103,17 +103,17 @@
       return CancelRunningJobs(t);
     case Kind::kCancelAtEnd:
       cancel_at_end_share_ = t.share;
-      return until([this] { cancel_at_end_share_ = 0; });
+      return at_end([this] { cancel_at_end_share_ = 0; });
     case Kind::kCloseLooks:
       query_bursts_ = true;
-      return until([this] { query_bursts_ = false; });
+      return at_end([this] { query_bursts_ = false; });
     case Kind::kOddRequests:
       unusual_requests_ = true;
       SendUnusualRequests();
-      return until([this] { unusual_requests_ = false; });
+      return at_end([this] { unusual_requests_ = false; });
     case Kind::kReportsForNext:
       message_faults_.held_heartbeat_share = t.share;
-      return until([this] { message_faults_.held_heartbeat_share = 0; });
+      return at_end([this] { message_faults_.held_heartbeat_share = 0; });
     case Kind::kRetire:
       for (size_t i = 0; i < nodes_.size(); ++i) {
         const bool leads = LeaderIndex() == static_cast<int>(i);
--- a/src/rehearsal/world.h
+++ b/src/rehearsal/world.h
@@ -91,11 +91,11 @@
   // Runs the whole scenario in simulated time.
   Result Run();
 
-  // In real time: call Begin, then RunUntil no later than NextAt, until over().
+  // In real time: call Begin, then RunUntil no later than NextAt, until IsOver().
   void Begin(Micros now);
   void RunUntil(Micros now);
   Micros NextAt() const { return clock_.NextAt(); }
-  bool over() const;
+  bool IsOver() const;
   void CollectResults();  // adds this cell to the result
   Result FinishRun();
   // Handles a request of a real controller to the cloud or to a machine.
@@ -161,7 +161,7 @@
   // Users.
   void ScheduleJobs();
   void SubmitJob(const std::string& job, Micros first);
-  void PollJob(const std::string& job, bool again);
+  void PollJob(const std::string& job, bool is_recheck);
   void CancelJob(const std::string& job);
   void QueryUnknownJob();
   void QueryOnce(const std::string& job, const std::string& node);  // without a retry
@@ -212,7 +212,7 @@
   struct UserJob {
     std::string body, job_class;
     JobFacts facts;
-    Micros run, first;
+    Micros run, first_submitted;
     int remaining_tasks = 0;  // tasks that are not completed
     int starts = 0;           // task starts so far
     bool cancel_requested = false, submitted = false, accepted = false, is_final = false,
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -179,7 +179,7 @@
     site_->LoseState(serving, kStateBack);
   }
   // The site ends by itself once each job is over, or the time to settle is.
-  while (!ending_ && !site_->world().over()) {
+  while (!ending_ && !site_->world().IsOver()) {
     ShowProgress("settle");
     CheckBounds();
     co_await loop_.Sleep(Millis(200));
