--- a/src/adapters/cloud_client.cpp
+++ b/src/adapters/cloud_client.cpp
@@ -21,16 +21,17 @@
   // The process may have been paused since the decision was made.
   if (io::Loop::Now() >= request.valid_until)
     co_return CloudResponse{Outcome::kThrottled, {}, {}, {}, false};
-  wire::Call call = wire::FormatCloudCall(request);
-  http::ClientAnswer answer = co_await client_.Request(
+  wire::Call call = wire::FormatCloudRequest(request);
+  http::ClientResponse answer = co_await client_.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
   CloudResponse response;
   if (!answer.answered()) {
-    response.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kThrottled
-                                                                               : Outcome::kUnknown;
+    response.outcome = answer.outcome == http::ClientResponse::Outcome::kNotSent
+                           ? Outcome::kThrottled
+                           : Outcome::kUnknown;
     co_return response;
   }
-  co_return wire::ParseCloudAnswer(request, answer.status, answer.body);
+  co_return wire::ParseCloudResponse(request, answer.status, answer.body);
 }
 
 }  // namespace badgershore::adapters
--- a/src/adapters/controller_server.cpp
+++ b/src/adapters/controller_server.cpp
@@ -21,7 +21,7 @@
 const std::string kJobPrefix = "/work/";
 const std::string kCancelSuffix = "/withdraw";
 
-http::ServerAnswer ErrorResponse(int status, const char* error) {
+http::ServerResponse ErrorResponse(int status, const char* error) {
   return {status, std::string("{\"error\":\"") + error + "\"}", status == 503 ? 1 : 0};
 }
 
@@ -51,7 +51,7 @@
 
 // Drops the response to a request that is no longer waiting.
 template <typename Response>
-void Deliver(const std::unordered_map<RequestId, io::Slot<Response>*>& pending,
+void Deliver(const std::unordered_map<RequestId, io::OneShotValue<Response>*>& pending,
              std::vector<Response>* responses) {
   for (Response& response : *responses) {
     auto it = pending.find(response.request_id);
@@ -188,26 +188,26 @@
   ++metrics_.command_requests;
   const RequestId id = request.id;
   http::Client client(loop_, request.endpoint, 0, kAgentLimits);
-  std::string body = wire::FormatDirect(request);
-  http::ClientAnswer answer =
+  std::string body = wire::FormatCommandRequest(request);
+  http::ClientResponse answer =
       co_await client.Request("POST", "/do", std::move(body), kCommandTimeout);
   CommandResponse response;
   if (answer.answered()) {
     response.status = answer.status;
-    response.heartbeat = wire::ParseReport(answer.body);
+    response.heartbeat = wire::ParseHeartbeat(answer.body);
   }
   core_.OnCommandResponse(io::Loop::Now(), id, std::move(response));
   ApplyEffects();
 }
 
-io::Task<http::ServerAnswer> ControllerServer::Handle(http::Message request) {
+io::Task<http::ServerResponse> ControllerServer::Handle(http::Message request) {
   std::string path = request.target.substr(0, request.target.find('?'));
   if (path == "/checkin") {
     if (request.method != "POST") co_return ErrorResponse(405, "POST only");
     co_return co_await HandleHeartbeat(std::move(request));
   }
   if (path == "/healthz") {
-    if (core_.IsHealthy(io::Loop::Now())) co_return http::ServerAnswer{200, "{\"ok\":true}", 0};
+    if (core_.IsHealthy(io::Loop::Now())) co_return http::ServerResponse{200, "{\"ok\":true}", 0};
     co_return ErrorResponse(503, "not ready");
   }
   if (path == "/metrics") co_return HandleMetrics();
@@ -217,17 +217,17 @@
   co_return ErrorResponse(404, "no such path");
 }
 
-http::ServerAnswer ControllerServer::HandleMetrics() {
+http::ServerResponse ControllerServer::HandleMetrics() {
   metrics_.state = state_.traffic();
   std::optional<LeaderGauges> leader;
   if (core_.leader()) leader = core_.leader()->Gauges(io::Loop::Now());
   return {200, metrics_.Format(leader, loop_->TakeLongestTurn()), 0};
 }
 
-io::Task<http::ServerAnswer> ControllerServer::HandleJobRequest(http::Message request,
-                                                                std::string path) {
+io::Task<http::ServerResponse> ControllerServer::HandleJobRequest(http::Message request,
+                                                                  std::string path) {
   const RequestId request_id = ++last_request_id_;
-  io::Slot<ApiResponse> slot(loop_);
+  io::OneShotValue<ApiResponse> slot(loop_);
   std::string id = path.size() > kJobPrefix.size() ? path.substr(kJobPrefix.size()) : std::string();
   const bool cancel = id.size() > kCancelSuffix.size() && id.ends_with(kCancelSuffix);
   if (cancel) id.resize(id.size() - kCancelSuffix.size());
@@ -252,17 +252,17 @@
   metrics_.user_response_times.Add((io::Loop::Now() - now).ToSeconds());
   ++metrics_.user_requests;
   if (!response) co_return ErrorResponse(503, "no answer in time");
-  co_return http::ServerAnswer{response->status, wire::FormatAnswer(*response),
-                               response->retry_after_s};
+  co_return http::ServerResponse{response->status, wire::FormatApiResponse(*response),
+                                 response->retry_after_s};
 }
 
-io::Task<http::ServerAnswer> ControllerServer::HandleHeartbeat(http::Message request) {
-  const std::optional<Heartbeat> heartbeat = wire::ParseReport(request.body);
+io::Task<http::ServerResponse> ControllerServer::HandleHeartbeat(http::Message request) {
+  const std::optional<Heartbeat> heartbeat = wire::ParseHeartbeat(request.body);
   if (!heartbeat) co_return ErrorResponse(400, "malformed report");
   ++metrics_.heartbeats;
   metrics_.heartbeat_bytes += request.body.size();
   const RequestId request_id = ++last_request_id_;
-  io::Slot<HeartbeatResponse> slot(loop_);
+  io::OneShotValue<HeartbeatResponse> slot(loop_);
   pending_heartbeats_[request_id] = &slot;
   const Micros now = io::Loop::Now();
   core_.OnHeartbeat(now, request_id, *heartbeat);
@@ -271,9 +271,9 @@
   pending_heartbeats_.erase(request_id);
   if (!response) co_return ErrorResponse(503, "no answer in time");
   if (io::Loop::Now() >= response->valid_until) co_return ErrorResponse(503, "the lease has ended");
-  std::string body = wire::FormatCheckinAnswer(*response);
+  std::string body = wire::FormatHeartbeatResponse(*response);
   metrics_.heartbeat_response_bytes += body.size();
-  co_return http::ServerAnswer{response->status, std::move(body), 0};
+  co_return http::ServerResponse{response->status, std::move(body), 0};
 }
 
 }  // namespace badgershore::adapters
--- a/src/adapters/controller_server.h
+++ b/src/adapters/controller_server.h
@@ -31,10 +31,10 @@
   io::Task<void> TickLoop();
   void LogUserLatency();
 
-  io::Task<http::ServerAnswer> Handle(http::Message request);
-  http::ServerAnswer HandleMetrics();
-  io::Task<http::ServerAnswer> HandleJobRequest(http::Message request, std::string path);
-  io::Task<http::ServerAnswer> HandleHeartbeat(http::Message request);
+  io::Task<http::ServerResponse> Handle(http::Message request);
+  http::ServerResponse HandleMetrics();
+  io::Task<http::ServerResponse> HandleJobRequest(http::Message request, std::string path);
+  io::Task<http::ServerResponse> HandleHeartbeat(http::Message request);
 
   // Applies the core's effects until there are none left.
   void ApplyEffects();
@@ -56,8 +56,8 @@
   Micros latency_logged_at_;
   bool applying_effects_ = false;
   RequestId last_request_id_ = 0;
-  std::unordered_map<RequestId, io::Slot<ApiResponse>*> pending_job_requests_;
-  std::unordered_map<RequestId, io::Slot<HeartbeatResponse>*> pending_heartbeats_;
+  std::unordered_map<RequestId, io::OneShotValue<ApiResponse>*> pending_job_requests_;
+  std::unordered_map<RequestId, io::OneShotValue<HeartbeatResponse>*> pending_heartbeats_;
 };
 
 }  // namespace badgershore::adapters
--- a/src/adapters/state_client.cpp
+++ b/src/adapters/state_client.cpp
@@ -76,25 +76,26 @@
   const bool down = requests_without_response_ >= kDownAfterRequests &&
                     io::Loop::Now() - last_response_at_ > kDownAfter;
   if (down && !lease && !watch && in_flight_ > 0) co_return RefusedResponse();
-  wire::Call call = wire::FormatStateCall(request);
+  wire::Call call = wire::FormatStateRequest(request);
   http::Client& client = watch ? watches_ : requests_;
   // A waiting watch does not show whether other requests would get a response. If it were counted,
   // a controller would refuse user requests for as long as an old watch hangs after a network
   // partition.
   if (!watch) ++in_flight_;
-  http::ClientAnswer answer = co_await client.Request(
+  http::ClientResponse answer = co_await client.Request(
       std::move(call.method), std::move(call.target), std::move(call.body), call.timeout);
   if (!watch) --in_flight_;
   StateResponse response;
   if (!answer.answered()) {
     if (!watch) ++requests_without_response_;
-    response.outcome = answer.outcome == http::ClientAnswer::Outcome::kNotSent ? Outcome::kRefused
-                                                                               : Outcome::kUnknown;
+    response.outcome = answer.outcome == http::ClientResponse::Outcome::kNotSent
+                           ? Outcome::kRefused
+                           : Outcome::kUnknown;
     co_return response;
   }
   requests_without_response_ = 0;
   last_response_at_ = io::Loop::Now();
-  co_return wire::ParseStateAnswer(request, answer.status, answer.body);
+  co_return wire::ParseStateResponse(request, answer.status, answer.body);
 }
 
 }  // namespace badgershore::adapters
--- a/src/agent/core/agent.cpp
+++ b/src/agent/core/agent.cpp
@@ -45,7 +45,7 @@
   if (was_fetching) {
     auto image = images_.find(entry->spec->image);
     if (image != images_.end() && !image->second && !IsImageNeeded(image->first)) {
-      AddAction(Action::Kind::kGiveUp).text = image->first;
+      AddAction(Action::Kind::kCancelImageFetch).text = image->first;
       images_.erase(image);
     }
   }
@@ -62,10 +62,10 @@
     if (it->first == key || it->second.phase == TaskPhase::kExited) continue;
     return MarkExited(key, &entry, ExitReason::kDuplicateTask, false);
   }
-  AddAction(Action::Kind::kDescribe).text = command.ref.job;
+  AddAction(Action::Kind::kFetchJobSpec).text = command.ref.job;
 }
 
-void Agent::OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec) {
+void Agent::OnJobSpec(Micros now, const std::string& job, std::optional<JobSpec> spec) {
   for (auto& [key, entry] : tasks_) {
     if (key.ref.job != job || entry.spec || entry.phase != TaskPhase::kFetchingImage) continue;
     if (!spec || key.ref.task >= spec->tasks) {
@@ -91,7 +91,7 @@
   if (image != images_.end() && image->second) return Launch(now, key, entry);
   if (image != images_.end()) return;  // being fetched for another task
   images_[entry->spec->image] = false;
-  Action& fetch = AddAction(Action::Kind::kFetch);
+  Action& fetch = AddAction(Action::Kind::kFetchImage);
   fetch.text = entry->spec->image;
   fetch.gb = entry->spec->image_gb;
 }
@@ -142,7 +142,7 @@
   if (entry.phase == TaskPhase::kRunning && can_checkpoint &&
       command.grace_period >= entry.spec->checkpoint_duration) {
     entry.phase = TaskPhase::kCheckpointing;
-    AddAction(Action::Kind::kSave).task = key;
+    AddAction(Action::Kind::kSaveCheckpoint).task = key;
     return MarkChanged();
   }
   MarkExited(key, &entry, ExitReason::kStopped, false);
@@ -175,8 +175,8 @@
   MarkChanged();
 }
 
-int Agent::OnDirect(Micros now, uint64_t fencing_token, uint64_t epoch,
-                    const std::vector<Command>& commands) {
+int Agent::OnCommands(Micros now, uint64_t fencing_token, uint64_t epoch,
+                      const std::vector<Command>& commands) {
   EndExpired(now);
   if (fencing_token < fencing_token_ || epoch != epoch_) return 409;
   ObserveFencingToken(now, fencing_token);
@@ -201,7 +201,7 @@
   return heartbeat;
 }
 
-void Agent::SetNotice(Micros now, std::optional<Micros> remaining) {
+void Agent::SetPreemptionNotice(Micros now, std::optional<Micros> remaining) {
   preemption_at_ = remaining ? std::optional<Micros>(now + *remaining) : std::nullopt;
   MarkChanged();
 }
@@ -211,7 +211,7 @@
   changed_ = false;
   sent_at_ = now;
   sent_epoch_ = epoch_;
-  Action& action = AddAction(Action::Kind::kReport);
+  Action& action = AddAction(Action::Kind::kSendHeartbeat);
   action.report_id = ++heartbeat_id_;
   action.controller = controller_index_;
   action.report = Status();
--- a/src/agent/core/agent.h
+++ b/src/agent/core/agent.h
@@ -26,15 +26,15 @@
 // An action that the machine has to execute. Actions are executed in order.
 struct Action {
   enum class Kind {
-    kReport,    // send a heartbeat to `controller`; only one is in flight at a time
-    kDescribe,  // fetch the specification of job `text`
-    kFetch,     // fetch image `text`, which has `gb` gigabytes
-    kGiveUp,    // cancel the fetch of image `text`: no task waits for it any more
-    kLaunch,    // the image is present: run the task, or let it wait for its gang
-    kSave,      // let the task write a checkpoint and exit
-    kKill,      // end the task now; nothing of it may remain afterwards
+    kSendHeartbeat,     // send a heartbeat to `controller`; only one is in flight at a time
+    kFetchJobSpec,      // fetch the specification of job `text`
+    kFetchImage,        // fetch image `text`, which has `gb` gigabytes
+    kCancelImageFetch,  // cancel the fetch of image `text`: no task waits for it any more
+    kLaunch,            // the image is present: run the task, or let it wait for its gang
+    kSaveCheckpoint,    // let the task write a checkpoint and exit
+    kKill,              // end the task now; nothing of it may remain afterwards
   };
-  Kind kind = Kind::kReport;
+  Kind kind = Kind::kSendHeartbeat;
   uint64_t report_id = 0;
   size_t controller = 0;
   Heartbeat report;
@@ -55,23 +55,23 @@
   void OnAnswer(Micros now, uint64_t heartbeat_id, const HeartbeatResponse& response);
   // Handles POST /do and returns the status of the response, 200 or 409. The body of the response
   // is the heartbeat that the next function returns.
-  int OnDirect(Micros now, uint64_t fencing_token, uint64_t epoch,
-               const std::vector<Command>& commands);
+  int OnCommands(Micros now, uint64_t fencing_token, uint64_t epoch,
+                 const std::vector<Command>& commands);
   Heartbeat Status();  // takes a new sequence number
 
-  void OnDescription(Micros now, const std::string& job, std::optional<JobSpec> spec);
+  void OnJobSpec(Micros now, const std::string& job, std::optional<JobSpec> spec);
   void OnImage(Micros now, const std::string& image);
   void OnGangComplete(Micros now, const TaskKey& task);  // the task stops waiting and runs
   // A task has exited by itself or after writing a requested checkpoint. Ignored for a killed task,
   // whose reason is already recorded.
   void OnExit(Micros now, const TaskKey& task, ExitReason exit_reason, bool checkpointed);
-  void SetNotice(Micros now, std::optional<Micros> remaining);
+  void SetPreemptionNotice(Micros now, std::optional<Micros> remaining);
 
   std::vector<Action> Take() { return std::exchange(actions_, {}); }
   uint64_t session() const { return epoch_; }
   uint64_t fencing_token() const { return fencing_token_; }
   size_t tasks() const { return tasks_.size(); }
-  bool noticed() const { return preemption_at_.has_value(); }
+  bool has_preemption_notice() const { return preemption_at_.has_value(); }
   Resources Free() const { return settings_.size - UsedResources(); }
 
  private:
--- a/src/config/cells.cpp
+++ b/src/config/cells.cpp
@@ -5,18 +5,18 @@
 
 namespace badgershore::config {
 
-CellsPlan LoadCells(const std::string& file, const std::string& peer_address) {
+CellsConfig LoadCells(const std::string& file, const std::string& peer_address) {
   return ParseCells(ReadFile(file), file, peer_address);
 }
 
-CellsPlan ParseCells(const std::string& text, const std::string& file,
-                     const std::string& peer_address) {
+CellsConfig ParseCells(const std::string& text, const std::string& file,
+                       const std::string& peer_address) {
   YamlMap top = YamlMap::Parse(text, file);
-  CellsPlan plan;
+  CellsConfig plan;
   std::set<std::string> names, addresses;
   int initial_members = 0;
   top.Each("cells", [&](YamlMap m) {
-    CellSite cell;
+    CellConfig cell;
     cell.name = m.Text("name");
     if (!names.insert(cell.name).second) m.Fail("name", "a unique cell name");
     cell.initial_member = m.Flag("founding", true);
@@ -31,22 +31,22 @@
       if (addr == peer_address) plan.self = cell.name;
     }
     initial_members += cell.initial_member;
-    m.NoOthers();
+    m.RejectUnknownKeys();
     plan.cells.push_back(std::move(cell));
   });
   if (plan.cells.empty()) top.Fail("cells", "at least one cell");
   if (plan.cells.size() > 16) top.Fail("cells", "at most 16 cells");
   if (initial_members == 0) top.Fail("cells", "at least one founding cell");
   if (plan.self.empty()) top.Fail("cells", "a cell with this controller's address " + peer_address);
-  for (const CellSite& c : plan.cells) {
+  for (const CellConfig& c : plan.cells) {
     if (c.successor.empty()) continue;
     if (c.name == plan.self) top.Fail("cells", "no heir for a cell that still has controllers");
     bool valid_heir = false;
-    for (const CellSite& other : plan.cells)
+    for (const CellConfig& other : plan.cells)
       valid_heir |= other.name == c.successor && other.successor.empty();
     if (!valid_heir) top.Fail("cells", "the heir of " + c.name + " to be a cell without an heir");
   }
-  top.NoOthers();
+  top.RejectUnknownKeys();
   return plan;
 }
 
--- a/src/config/config.h
+++ b/src/config/config.h
@@ -25,8 +25,8 @@
 Options LoadOptions(const std::string& file);
 
 // The cells; `peer_address` is this controller's peer address, which determines its own cell.
-CellsPlan ParseCells(const std::string& text, const std::string& file,
-                     const std::string& peer_address);
-CellsPlan LoadCells(const std::string& file, const std::string& peer_address);
+CellsConfig ParseCells(const std::string& text, const std::string& file,
+                       const std::string& peer_address);
+CellsConfig LoadCells(const std::string& file, const std::string& peer_address);
 
 }  // namespace badgershore::config
--- a/src/config/scenario.h
+++ b/src/config/scenario.h
@@ -17,57 +17,60 @@
 struct JobClass {
   JobSpec spec;      // the id and the number of tasks are set for each job
   std::string cell;  // where its jobs are submitted; empty: the first cell
-  int least_tasks = 1, most_tasks = 1, images = 1, at_start = 0;
+  int min_tasks = 1, max_tasks = 1, images = 1, at_start = 0;
   double per_minute = 0;
   Micros run;
   Micros from, until;  // when jobs after the first `at_start` are submitted; until 0: to the end
   // The scenario fails if a job of the class starts, or is done, later than this after submission.
   Micros start_within, done_within;  // 0: no bound
-  double mistake = 0;                // the share of tasks that fail on every machine
-  Micros withdrawn_after;            // its user cancels it this long after submission; 0: never
+  double failing_task_share = 0;     // the share of tasks that fail on every machine
+  Micros cancel_after;               // its user cancels it this long after submission; 0: never
 };
-struct Withdrawal {
+struct Cancellation {
   std::string job;
   Micros at;
 };
-struct Trouble {
+struct Fault {
   // A fault injected from `at` for `span`. `who` and `whom` name hosts: all, leader, followers
   // (only for a cut), node-0 .. node-2, state, cloud, users, machines or zone-NAME, and cell-NAME
   // in a scenario with several cells.
   enum class Kind {
     kCloudDown,
     kCloudEmpty,
-    kGrantsVanish,
-    kBootsNever,
-    kSpotWave,
+    kVanishingInstances,
+    kBootFailures,
+    kSpotPreemptions,
     kStateDown,
-    kStateMute,
-    kStateLate,
+    kLostCommitResponses,
+    kCommitsAfterTimeout,
     kStateRestart,
     kDiskFull,
     kKill,
-    kCut,
+    kPartition,
     kMachinesFail,
     kMachinesDie,
-    kFreeze,
+    kPause,
     kRestore,
     kLimit,
-    kRetire,
+    kHandover,
     kStateRefuses,
-    kStateSlow,    // `share` of the requests to and responses from the state service take up to 6 s
-                   // longer
-    kLateWrites,   // `share` of the writes get no response and are applied 2 to 12 s later
-    kLateReports,  // `share` of the heartbeats are duplicated, delayed by 2 s to more than a lease
-    kDeaf,         // `share` of the machines can send, but receive no responses or requests
-    kMute,         // `share` of the machines can't reach a controller, but receive direct commands
-    kHang,         // `share` of the machines pause; what was sent to them is delivered afterwards
-    kCancelNow,    // users cancel `count` running jobs; up to eight of their machines pause for
-                   // `span`
-    kCancelAtEnd,  // `share` of the jobs are cancelled at the moment their last task completes
-    kCloseLooks,   // within milliseconds of a response users query all nodes and submit again
-    kOddRequests,  // duplicate submissions, cancellations of finished jobs, jobs that can't run
-    kReportsForNext  // copies of `share` of the heartbeats reach all nodes after a new leader
-                     // started
+    kStateSlow,  // `share` of the requests to and responses from the state service take up to 6 s
+                 // longer
+    kDelayedWrites,        // `share` of the writes get no response and are applied 2 to 12 s later
+    kDuplicateHeartbeats,  // `share` of the heartbeats are duplicated, delayed by 2 s to more than
+                           // a lease
+    kMachinesReceiveNothing,     // `share` of the machines can send, but receive no responses or
+                                 // requests
+    kMachinesReachNoController,  // `share` of the machines can't reach a controller, but receive
+                                 // direct commands
+    kMachinesHang,  // `share` of the machines pause; what was sent to them is delivered afterwards
+    kCancelNow,     // users cancel `count` running jobs; up to eight of their machines pause for
+                    // `span`
+    kCancelAtEnd,   // `share` of the jobs are cancelled at the moment their last task completes
+    kQueryBursts,   // within milliseconds of a response users query all nodes and submit again
+    kUnusualRequests,  // duplicate submissions, cancellations of finished jobs, jobs that can't run
+    kHeartbeatsHeldForNextLeader  // copies of `share` of the heartbeats reach all nodes after a new
+                                  // leader started
   };
   Kind kind = Kind::kCloudDown;
   Micros at, span;
@@ -77,7 +80,7 @@
   std::string cell;      // the affected cell; empty: the first, or all cells for kLimit
   std::string team;      // kLimit: every controller is restarted with a new limit for this team
   int64_t cpus_max = 0;  // thousandths
-  bool resets = false;   // kCut: connections are reset instead of their data being delayed
+  bool resets = false;   // kPartition: connections are reset instead of their data being delayed
 };
 struct Scenario {
   std::string name, about;
@@ -89,9 +92,9 @@
   double recheck_least_s = 10, recheck_most_s = 30;
   std::vector<MachineOffer> types;
   std::vector<JobClass> classes;
-  std::vector<Withdrawal> withdrawals;
-  std::vector<std::string> either;  // jobs whose cancellation races their completion
-  std::vector<Trouble> troubles;
+  std::vector<Cancellation> cancellations;
+  std::vector<std::string> racing_jobs;  // jobs whose cancellation races their completion
+  std::vector<Fault> troubles;
 };
 
 // Reads a site's section; absent keys take the values of `defaults`. The caller must check for
--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -144,7 +144,7 @@
   }
 }
 
-void YamlMap::NoOthers() const {
+void YamlMap::RejectUnknownKeys() const {
   if (!node_.IsMap()) return;
   for (const auto& entry : node_) {
     const auto key = entry.first.as<std::string>("");
--- a/src/config/yaml.h
+++ b/src/config/yaml.h
@@ -40,7 +40,7 @@
   void Each(const std::string& key, const std::function<void(YamlMap)>& on_item);
 
   // Throws if the map has a key that was not read. To be called after reading all known keys.
-  void NoOthers() const;
+  void RejectUnknownKeys() const;
   [[noreturn]] void Fail(const std::string& key, const std::string& expected) const;
 
  private:
--- a/src/core/controller/peer_view.cpp
+++ b/src/core/controller/peer_view.cpp
@@ -39,8 +39,8 @@
 
 void PeerView::Tick(Micros now, int64_t time_of_day_ms) {
   if (!members_) CreateMembers(time_of_day_ms);
-  members_->SetReach(connectivity_->StateServiceReachable(now),
-                     connectivity_->ReceivesHeartbeats(now));
+  members_->SetReachability(connectivity_->StateServiceReachable(now),
+                            connectivity_->ReceivesHeartbeats(now));
   members_->Tick(now);
   SendMembershipMessages();
   LogSuspicions(now);
--- a/src/core/election/leader_authority.h
+++ b/src/core/election/leader_authority.h
@@ -38,7 +38,7 @@
   Micros answer_until() const {
     return std::min(election_->confirmed_at(), known_as_of()) + heartbeat_answer_span_;
   }
-  bool MayAnswer(Micros now) const { return now < answer_until(); }
+  bool MayAnswerHeartbeats(Micros now) const { return now < answer_until(); }
 
   // Commands that start tasks may leave this process until this time. The leader lease alone is not
   // enough: a renewal that succeeds right after an outage does not tell which jobs were cancelled
--- a/src/core/leader/heartbeat_handler.cpp
+++ b/src/core/leader/heartbeat_handler.cpp
@@ -32,7 +32,7 @@
 HeartbeatHandler::Outcome HeartbeatHandler::Handle(Micros now, RequestId request_id,
                                                    const Heartbeat& heartbeat,
                                                    std::vector<Command>* commands) {
-  if (!authority().MayAnswer(now)) return Outcome::kReject;
+  if (!authority().MayAnswerHeartbeats(now)) return Outcome::kReject;
   // Duplicate heartbeats can arrive late, even for removed machines. A machine's state must not
   // change before the heartbeat is known to be the agent's latest.
   if (machine_table().IsTombstoned(heartbeat.machine)) return Outcome::kSuperseded;
--- a/src/core/leader/quota_checker.cpp
+++ b/src/core/leader/quota_checker.cpp
@@ -69,9 +69,9 @@
 
 std::string QuotaChecker::Describe(int team) const {
   return "team " + settings().teams[static_cast<size_t>(team)].name + " uses " +
-         CoresText(usage_accounting().Used(team).cpu) + " of " + CoresText(Limit(team).cpu) +
-         " cores, reserved for gangs " + CoresText(quota_reservations().Reserved(team).cpu) +
-         ", uncertain " + CoresText(usage_accounting().uncertain_use().cpu);
+         FormatCores(usage_accounting().Used(team).cpu) + " of " + FormatCores(Limit(team).cpu) +
+         " cores, reserved for gangs " + FormatCores(quota_reservations().Reserved(team).cpu) +
+         ", uncertain " + FormatCores(usage_accounting().uncertain_use().cpu);
 }
 
 std::string QuotaChecker::Summary() const {
--- a/src/core/leader/quota_log.cpp
+++ b/src/core/leader/quota_log.cpp
@@ -56,7 +56,7 @@
   std::string out = "uncertain use: " +
                     (usage_accounting().IsUncertainUseUnbounded()
                          ? "unbounded"
-                         : CoresText(usage_accounting().uncertain_use().cpu) + " cores") +
+                         : FormatCores(usage_accounting().uncertain_use().cpu) + " cores") +
                     ", " + std::to_string(reconciler().unreconciled().size()) +
                     " machines unreconciled, " +
                     std::to_string(usage_accounting().machines_with_unknown_tasks()) +
--- a/src/core/leader/quota_shares.cpp
+++ b/src/core/leader/quota_shares.cpp
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-limits::Settings QuotaSettings(const CellsPlan& plan) {
+limits::Settings QuotaSettings(const CellsConfig& plan) {
   limits::Settings settings;
   settings.self = plan.self;
-  for (const CellSite& cell : plan.cells) {
+  for (const CellConfig& cell : plan.cells) {
     settings.cells.push_back({cell.name, cell.initial_member, cell.draining, cell.successor});
   }
   return settings;
@@ -54,7 +54,7 @@
 
 void QuotaShares::Load(const Entry& entry) {
   const auto* record = std::get_if<limits::QuotaRecord>(&entry.value);
-  if (!record || entry.key != keys::kEscrow) return;
+  if (!record || entry.key != keys::kQuotaRecord) return;
   loaded_record_ = *record;
   record_version_ = entry.version;
 }
@@ -176,7 +176,7 @@
     return {leader_addresses_[cell]};
   }
   std::vector<std::string> addresses;
-  for (const CellSite& site : options().cells.cells) {
+  for (const CellConfig& site : options().cells.cells) {
     if (site.name == cell) addresses = site.addresses;
   }
   return addresses;
@@ -204,8 +204,8 @@
   StateRequest commit;
   commit.kind = StateRequest::Kind::kCompareAndSwap;
   commit.preconditions = {{keys::kTerm, election()->term_version()},
-                          {keys::kEscrow, record_version_}};
-  commit.mutations.push_back({keys::kEscrow, false, *record, 0});
+                          {keys::kQuotaRecord, record_version_}};
+  commit.mutations.push_back({keys::kQuotaRecord, false, *record, 0});
   outbox()->SendState(commit,
                       Guarded([this, number = record->number](Micros now, StateResponse& response) {
                         OnWriteResponse(now, response, number);
@@ -238,7 +238,7 @@
 void QuotaShares::ReloadRecord(uint64_t number) {
   writing_ = true;
   StateRequest get;
-  get.key = keys::kEscrow;
+  get.key = keys::kQuotaRecord;
   outbox()->SendState(get, Guarded([this, number](Micros now, StateResponse& response) {
                         OnReloadResponse(now, response, number);
                       }));
@@ -260,7 +260,8 @@
 std::string QuotaShares::Summary() const {
   if (is_single_cell()) return "";
   return ledger_->restricted_to_floor_reason().empty()
-             ? "; cells without a response " + std::to_string(ledger_->UnheardCells().size())
+             ? "; cells without a response " +
+                   std::to_string(ledger_->CellsWithoutResponse().size())
              : "; quota restricted to the floor share";
 }
 
--- a/src/core/leader/quota_shares.h
+++ b/src/core/leader/quota_shares.h
@@ -14,7 +14,7 @@
 
 namespace badgershore {
 
-limits::Settings QuotaSettings(const CellsPlan& plan);
+limits::Settings QuotaSettings(const CellsConfig& plan);
 
 // Loads and writes the quota ledger's durable record, exchanges messages with the other cells'
 // leaders, and sets the quotas of QuotaChecker to this cell's shares. Does nothing in a deployment
--- a/src/core/model/settings.h
+++ b/src/core/model/settings.h
@@ -54,7 +54,7 @@
 };
 
 // A cell that shares the teams' limits and guarantees with others.
-struct CellSite {
+struct CellConfig {
   std::string name;
   std::vector<std::string> addresses;  // of its controllers, for messages between cells
   bool initial_member = true;          // has held a quota share from the beginning
@@ -62,9 +62,9 @@
   std::string successor;  // not empty: the cell was removed, and this one inherits its quota share
 };
 // All such cells; empty if there is only this one.
-struct CellsPlan {
+struct CellsConfig {
   std::string self;
-  std::vector<CellSite> cells;
+  std::vector<CellConfig> cells;
 };
 
 // The operators' settings (YAML). The defaults apply if there is no file.
@@ -113,7 +113,7 @@
   Micros stuck_after = Seconds(300);
   // Maximum number of a job's tasks in machines' queues.
   int bind_window = 1024;
-  CellsPlan cells;
+  CellsConfig cells;
   // Among jobs of equal priority, those of a team whose dominant share exceeds this multiple of the
   // mean, over the teams that use or want resources, start after the others.
   double fair_margin = 1.1;
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -2,11 +2,11 @@
 
 namespace badgershore::http {
 
-io::Task<ClientAnswer> Client::Request(std::string method, std::string target, std::string body,
-                                       Micros timeout) {
+io::Task<ClientResponse> Client::Request(std::string method, std::string target, std::string body,
+                                         Micros timeout) {
   const Micros deadline = io::Loop::Now() + timeout;
   const std::string request = FormatRequest(method, target, addr_, body, max_idle_ == 0);
-  ClientAnswer answer;
+  ClientResponse answer;
   ++traffic_.requests;
   // The server may have closed an idle connection. A GET is idempotent and is retried once on a new
   // connection; other requests are not retried, since the server may have carried them out.
@@ -26,7 +26,7 @@
       socket = co_await io::Socket::Connect(loop_, addr_, connect_by);
       if (!socket.open()) co_return answer;
     }
-    answer.outcome = ClientAnswer::Outcome::kUnknown;
+    answer.outcome = ClientResponse::Outcome::kUnknown;
     const bool sent = co_await socket.WriteAll(request, deadline);
     traffic_.sent += request.size();
     Parser parser(Parser::Kind::kResponse, limits_);
@@ -41,7 +41,7 @@
     }
     if (parser.done()) {
       Message message = parser.Take();
-      answer.outcome = ClientAnswer::Outcome::kAnswered;
+      answer.outcome = ClientResponse::Outcome::kAnswered;
       answer.status = message.status;
       answer.body = std::move(message.body);
       if (!message.close && idle_connections_.size() < max_idle_) {
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -15,7 +15,7 @@
   uint64_t requests = 0, sent = 0, received = 0;
 };
 
-struct ClientAnswer {
+struct ClientResponse {
   // kNotSent: no connection was made, so the request cannot have reached the server. kUnknown: the
   // request may have been carried out.
   enum class Outcome { kAnswered, kNotSent, kUnknown } outcome = Outcome::kNotSent;
@@ -29,8 +29,8 @@
   Client(io::Loop* loop, std::string addr, size_t max_idle, Limits limits)
       : loop_(loop), addr_(std::move(addr)), max_idle_(max_idle), limits_(limits) {}
 
-  io::Task<ClientAnswer> Request(std::string method, std::string target, std::string body,
-                                 Micros timeout);
+  io::Task<ClientResponse> Request(std::string method, std::string target, std::string body,
+                                   Micros timeout);
   const Traffic& traffic() const { return traffic_; }
 
  private:
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -56,8 +56,8 @@
     }
     Message request = parser.Take();
     const bool close = request.close;
-    ServerAnswer answer = co_await handler_(std::move(request));
-    if (answer.hang_up) break;
+    ServerResponse answer = co_await handler_(std::move(request));
+    if (answer.close_connection) break;
     const std::string out = FormatResponse(answer.status, answer.body, answer.retry_after_s, close);
     open = co_await socket.WriteAll(out, io::Loop::Now() + kWriteTimeout);
     if (close) open = false;
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -10,17 +10,17 @@
 
 namespace badgershore::http {
 
-struct ServerAnswer {
+struct ServerResponse {
   int status = 503;
   std::string body = "{}";
   int retry_after_s = 0;
   // Close the connection without a response: the outcome of the request is unknown.
-  bool hang_up = false;
+  bool close_connection = false;
 };
 
 class Server {
  public:
-  using Handler = std::function<io::Task<ServerAnswer>(Message)>;
+  using Handler = std::function<io::Task<ServerResponse>(Message)>;
   Server(io::Loop* loop, Handler handler, size_t max_connections, Limits limits = {})
       : loop_(loop),
         handler_(std::move(handler)),
--- a/src/io/loop.h
+++ b/src/io/loop.h
@@ -128,16 +128,16 @@
 // A one-shot value: set once by non-coroutine code and awaited by one coroutine. Set has no effect
 // after the first call.
 template <typename T>
-class Slot {
+class OneShotValue {
  public:
-  explicit Slot(Loop* loop) : loop_(loop) {}
+  explicit OneShotValue(Loop* loop) : loop_(loop) {}
   void Set(T v) {
     if (value_) return;
     value_ = std::move(v);
     if (waiter_) loop_->Wake(std::exchange(waiter_, nullptr));
   }
   struct Awaiter {
-    Slot* slot;
+    OneShotValue* slot;
     Micros deadline;
     Loop::Waiter waiter{};
     bool await_ready() const noexcept { return slot->value_.has_value(); }
--- a/src/limits/quota_ledger.cpp
+++ b/src/limits/quota_ledger.cpp
@@ -42,7 +42,7 @@
   return it->second;
 }
 
-std::set<std::string> QuotaLedger::UnheardCells() const {
+std::set<std::string> QuotaLedger::CellsWithoutResponse() const {
   std::set<std::string> missing;
   for (const Cell& cell : shares_.settings().cells) {
     if (cell.name == shares_.settings().self || cell.removed()) continue;
--- a/src/limits/quota_ledger.h
+++ b/src/limits/quota_ledger.h
@@ -64,7 +64,7 @@
   // Why only the floor may be used; empty if the cell is not restricted.
   const std::string& restricted_to_floor_reason() const { return restricted_to_floor_reason_; }
   // Active cells that have not responded since the record was loaded.
-  std::set<std::string> UnheardCells() const;
+  std::set<std::string> CellsWithoutResponse() const;
   const QuotaRecord& durable() const { return records_.durable(); }
   // The complete state of the ledger.
   std::string DebugString() const;
@@ -86,7 +86,7 @@
   int64_t UsedUnits(const std::string& team, ResourceKind kind) const;
   ResourceAmounts& NextHeld(const std::string& team);
   void AgreeOnTotals();
-  bool AllCellsResponded() const { return UnheardCells().empty(); }
+  bool AllCellsResponded() const { return CellsWithoutResponse().empty(); }
   void RestrictToFloor(const std::string& reason);
 
   // Requests.
--- a/src/membership/members.cpp
+++ b/src/membership/members.cpp
@@ -29,7 +29,7 @@
   return it == views_.end() ? nullptr : &it->second;
 }
 
-void Members::SetReach(bool state_service_reachable, bool receives_heartbeats) {
+void Members::SetReachability(bool state_service_reachable, bool receives_heartbeats) {
   state_service_reachable_ = state_service_reachable;
   receives_heartbeats_ = receives_heartbeats;
 }
--- a/src/membership/members.h
+++ b/src/membership/members.h
@@ -63,7 +63,7 @@
   void OnMessage(Micros now, const Message& message);
   std::vector<Message> Take() { return std::exchange(outgoing_, {}); }
   // Sets what this member can reach; sent with every message.
-  void SetReach(bool state_service_reachable, bool receives_heartbeats);
+  void SetReachability(bool state_service_reachable, bool receives_heartbeats);
   // Announces to the other members that this one shuts down.
   void Leave(Micros now);
 
--- a/src/programs/state.cpp
+++ b/src/programs/state.cpp
@@ -31,11 +31,11 @@
   s.limits.changes_per_s = limits.Number("write_rps", 0, 1e9, 0);
   s.limits.value_bytes = static_cast<size_t>(limits.Number("value_kb", 0.1, 64, 64) * 1024);
   s.limits.commit_changes = static_cast<size_t>(limits.Whole("txn_ops", 1, 100000, 128));
-  limits.NoOthers();
+  limits.RejectUnknownKeys();
   s.engine.reserve_bytes = static_cast<uint64_t>(top.Whole("reserve_mb", 0, int64_t{1} << 40, 64))
                            << 20;
   s.max_connections = top.Whole("max_connections", 1, 1 << 20, 4096);
-  top.NoOthers();
+  top.RejectUnknownKeys();
   return s;
 }
 
@@ -58,7 +58,7 @@
   store::Service service(&loop, &engine, settings.limits,
                          static_cast<size_t>(settings.max_connections));
   int exit_code = 0;
-  service.SetOnDataDamaged(
+  service.SetOnDataCorrupted(
       [&](const std::string& line) { exit_code = StopOnDataDamage(&loop, line); });
   if (const auto started = service.Start(listen); !started) {
     std::fprintf(stderr, "badgershore-state: %s\n", started.error().message.c_str());
@@ -85,7 +85,7 @@
   replication::ReplicatedService service(&loop, &engine, settings.limits, set, name,
                                          static_cast<size_t>(settings.max_connections));
   int exit_code = 0;
-  service.SetOnDataDamaged(
+  service.SetOnDataCorrupted(
       [&](const std::string& line) { exit_code = StopOnDataDamage(&loop, line); });
   if (const auto started = service.Start(); !started) {
     std::fprintf(stderr, "badgershore-state: %s\n", started.error().message.c_str());
@@ -106,9 +106,10 @@
   if (!engine.LoadOwnerMetadata().empty())
     throw store::DiskError(dir + ": is the data directory of a replica already");
   const store::StateImage image = engine.Load();
-  std::string content = wire::FormatHeadLine(image);
+  std::string content = wire::FormatHeaderLine(image);
   for (const auto& [key, item] : image.items) content += wire::FormatItemLine(key, item);
-  const replication::Stored first = replication::FirstStored(set, store::Sha256(content));
+  const replication::PersistentState first =
+      replication::InitialPersistentState(set, store::Sha256(content));
   if (engine.WriteWithOwnerMetadata(nullptr, replication::Encode(first)) !=
       store::WriteOutcome::kDurable) {
     throw store::DiskError(dir + ": can't be written");
@@ -127,7 +128,7 @@
                 static_cast<unsigned long long>(image.revision));
     return 0;
   }
-  std::printf("%s\n", wire::FormatHeadLine(image).c_str());
+  std::printf("%s\n", wire::FormatHeaderLine(image).c_str());
   for (const auto& [key, item] : image.items) {
     std::printf("%s\n", wire::FormatItemLine(key, item).c_str());
   }
@@ -198,7 +199,7 @@
   } catch (const config::Error& e) {
     std::fprintf(stderr, "badgershore-state: %s\n", e.what());
     return programs::kExitInvalidInput;
-  } catch (const store::DataDamagedError& e) {
+  } catch (const store::DataCorruptionError& e) {
     std::fprintf(stderr, "badgershore-state: %s\n", e.what());
     return programs::kExitDataCorrupt;
   } catch (const store::DiskError& e) {
--- a/src/rehearsal/site.h
+++ b/src/rehearsal/site.h
@@ -75,7 +75,7 @@
  private:
   io::Task<void> RunWorld();
   io::Task<void> RemoveStateData(size_t replica);
-  io::Task<http::ServerAnswer> HandleRequest(std::string host, http::Message m);
+  io::Task<http::ServerResponse> HandleRequest(std::string host, http::Message m);
   io::Task<void> SendRequest(std::shared_ptr<http::Client> client, wire::Call call, Reply reply);
   std::shared_ptr<http::Client> ClientOf(const std::string& from, size_t node);
   std::vector<site::Command> Commands();
@@ -96,7 +96,7 @@
   std::map<std::string, WorkerConnection> connections_;  // by machine
   Traffic heartbeat_traffic_, user_traffic_;
   http::Server cloud_;
-  site::Relay relay_;
+  site::LoadBalancer relay_;
   site::Processes processes_;
   World world_;
   size_t next_state_replica_ = 0;
--- a/src/rehearsal/state.cpp
+++ b/src/rehearsal/state.cpp
@@ -8,7 +8,7 @@
 
 void World::HandleStateRequest(uint64_t id, const wire::Call& call) {
   if (!state_) return Respond(id, kNotSent, "");
-  wire::StoreCall parsed = wire::ParseStoreCall(call.method, call.target, call.body);
+  wire::ParsedStoreRequest parsed = wire::ParseStoreRequest(call.method, call.target, call.body);
   if (parsed.status != 0) return Respond(id, parsed.status, "{}");
   if (StateRefusedUntil(id) > now_) return Respond(id, 503, R"({"error":"not for you"})");
   if (state_down_) return Respond(id, 503, R"({"error":"outage"})");
@@ -49,7 +49,7 @@
   for (auto& [token, answer] : out.responses) {
     auto it = state_calls_.find(token);
     if (it == state_calls_.end()) continue;
-    wire::StoreAnswer a = wire::FormatStoreAnswer(it->second.second, answer);
+    wire::StoreHttpResponse a = wire::FormatStoreResponse(it->second.second, answer);
     // A watch that was open when the refusal began is answered when it ends.
     const Micros refused = StateRefusedUntil(it->second.first);
     if (a.status != 0 && refused > now_) {
--- a/src/rehearsal/troubles.cpp
+++ b/src/rehearsal/troubles.cpp
@@ -5,8 +5,8 @@
 
 namespace badgershore::rehearsal {
 
-void World::InjectFault(const Trouble& t) {
-  using Kind = Trouble::Kind;
+void World::InjectFault(const Fault& t) {
+  using Kind = Fault::Kind;
   const auto at_end = [&](std::function<void()> then) { Schedule(now_ + t.span, std::move(then)); };
   const auto each_machine = [&](auto then) {
     std::vector<std::string> ids;
@@ -23,19 +23,19 @@
     case Kind::kCloudEmpty:
       cloud_.no_capacity = true;
       return at_end([this] { cloud_.no_capacity = false; });
-    case Kind::kGrantsVanish:
+    case Kind::kVanishingInstances:
       cloud_.vanish_share = t.share;
       return at_end([this] { cloud_.vanish_share = 0; });
-    case Kind::kBootsNever:
+    case Kind::kBootFailures:
       cloud_.never_boots_share = t.share;
       return at_end([this] { cloud_.never_boots_share = 0; });
-    case Kind::kSpotWave:
+    case Kind::kSpotPreemptions:
       return each_machine([&](const std::string& id) {
         Worker& w = workers_.at(id);
         if (!w.record.spot) return;
         const Micros notice = RandomFraction() < 0.3 ? Micros{} : RandomDuration(4, 12);
         if (notice > Micros{}) {
-          w.agent->SetNotice(now_, notice);
+          w.agent->SetPreemptionNotice(now_, notice);
           ProcessAgentActions(id);
         }
         Schedule(now_ + notice, [this, id] { cloud_.Terminate(now_, id); });
@@ -46,10 +46,10 @@
         state_down_ = false;
         if (state_) state_->RenewAllLeases(now_);
       });
-    case Kind::kStateMute:
+    case Kind::kLostCommitResponses:
       lost_response_share_ = t.share;
       return at_end([this] { lost_response_share_ = 0; });
-    case Kind::kStateLate:
+    case Kind::kCommitsAfterTimeout:
       delayed_write_share_ = t.share;
       delayed_writes_until_ = now_ + t.span;
       return at_end([this] { delayed_write_share_ = 0; });
@@ -69,11 +69,11 @@
       }
       return;
     case Kind::kStateRefuses:
-    case Kind::kFreeze:
+    case Kind::kPause:
       for (size_t i = 0; i < nodes_.size(); ++i) {
         const bool leads = LeaderIndex() == static_cast<int>(i);
         if (t.who != NodeName(i) && !(t.who == "leader" && leads)) continue;
-        (t.kind == Kind::kFreeze ? nodes_[i].paused_until : nodes_[i].state_refused_until) =
+        (t.kind == Kind::kPause ? nodes_[i].paused_until : nodes_[i].state_refused_until) =
             now_ + t.span;
         break;
       }
@@ -81,40 +81,40 @@
     case Kind::kStateSlow:
       message_faults_.slow_state_share = t.share;
       return at_end([this] { message_faults_.slow_state_share = 0; });
-    case Kind::kLateWrites:
+    case Kind::kDelayedWrites:
       message_faults_.delayed_write_share = t.share;
       return at_end([this] { message_faults_.delayed_write_share = 0; });
-    case Kind::kLateReports:
+    case Kind::kDuplicateHeartbeats:
       message_faults_.duplicate_heartbeat_share = t.share;
       return at_end([this] { message_faults_.duplicate_heartbeat_share = 0; });
-    case Kind::kDeaf:
+    case Kind::kMachinesReceiveNothing:
       return each_machine([&](const std::string& id) {
         message_faults_.cannot_receive.insert(id);
         at_end([this, id] { message_faults_.cannot_receive.erase(id); });
       });
-    case Kind::kMute:
+    case Kind::kMachinesReachNoController:
       return each_machine([&](const std::string& id) {
         message_faults_.cannot_send.insert(id);
         at_end([this, id] { message_faults_.cannot_send.erase(id); });
       });
-    case Kind::kHang:
+    case Kind::kMachinesHang:
       return each_machine([&](const std::string& id) { HangMachine(id, t.span); });
     case Kind::kCancelNow:
       return CancelRunningJobs(t);
     case Kind::kCancelAtEnd:
       cancel_at_end_share_ = t.share;
       return at_end([this] { cancel_at_end_share_ = 0; });
-    case Kind::kCloseLooks:
+    case Kind::kQueryBursts:
       query_bursts_ = true;
       return at_end([this] { query_bursts_ = false; });
-    case Kind::kOddRequests:
+    case Kind::kUnusualRequests:
       unusual_requests_ = true;
       SendUnusualRequests();
       return at_end([this] { unusual_requests_ = false; });
-    case Kind::kReportsForNext:
+    case Kind::kHeartbeatsHeldForNextLeader:
       message_faults_.held_heartbeat_share = t.share;
       return at_end([this] { message_faults_.held_heartbeat_share = 0; });
-    case Kind::kRetire:
+    case Kind::kHandover:
       for (size_t i = 0; i < nodes_.size(); ++i) {
         const bool leads = LeaderIndex() == static_cast<int>(i);
         if (!nodes_[i].controller ||
@@ -159,7 +159,7 @@
                  [this, i] { KillNode(i, RandomDuration(1, 2)); });
       }
       return;
-    case Kind::kCut: {
+    case Kind::kPartition: {
       if (t.who.starts_with("cell-")) {
         context_->cell_partitions.push_back({t.who.substr(5), t.whom.substr(5), now_ + t.span});
         return;
--- a/src/rehearsal/world.h
+++ b/src/rehearsal/world.h
@@ -18,9 +18,9 @@
 
 namespace badgershore::rehearsal {
 
+using config::Cancellation;
+using config::Fault;
 using config::JobClass;
-using config::Trouble;
-using config::Withdrawal;
 
 // Host names on the network: node-N, state, cloud, users, and machine ids.
 inline const std::string kState = "state", kCloud = "cloud";
@@ -167,16 +167,16 @@
   void QueryOnce(const std::string& job, const std::string& node);  // without a retry
   void SendQueryBurst(const std::string& job);
   void SendUnusualRequests();
-  void CancelRunningJobs(const Trouble& t);
+  void CancelRunningJobs(const Fault& t);
   std::string ChooseNode();
   void ProbeNode(size_t index);
 
   // Other cells.
   void SendToCell(size_t index, const CellDelivery& send);
-  CellsPlan Cells() const;
+  CellsConfig Cells() const;
   void RestoreStateBackup();
 
-  void InjectFault(const Trouble& t);
+  void InjectFault(const Fault& t);
   void RecordEvent(Event e);
   void RecordNote(const std::string& text);
 
--- a/src/replication/core/messages.h
+++ b/src/replication/core/messages.h
@@ -36,7 +36,7 @@
 };
 
 // A replica's persistent metadata, stored with the state.
-struct Stored {
+struct PersistentState {
   Vote vote;
   Position position;    // of the last batch applied to the state
   std::string history;  // identifies the service, the same on all its replicas; empty: new disk
@@ -53,40 +53,40 @@
   bool probe = false;
   Position position;
 };
-struct VoteAnswer {
+struct VoteResponse {
   uint64_t term = 0;
   bool probe = false, granted = false;
 };
 
 // From the leader of `term`: the next entry, or none for a heartbeat. `sent` is the time on the
 // leader's clock; the response returns it.
-struct Append {
+struct AppendRequest {
   uint64_t term = 0;
   Micros sent;
   std::optional<Entry> entry;
 };
 // A chunk of a snapshot of the leader's state, for a replica that the leader's recent entries can't
 // bring up to date.
-struct ImagePart {
+struct SnapshotChunk {
   uint64_t term = 0;
   Micros sent;
   Position position;
   uint64_t offset = 0, size = 0;
   std::string bytes;
 };
-// The response to an Append or an ImagePart: the sender follows that leader, and its state is
-// durable up to `position`.
-struct AppendAnswer {
+// The response to an AppendRequest or a SnapshotChunk: the sender follows that leader, and its
+// state is durable up to `position`.
+struct AppendResponse {
   uint64_t term = 0;
   Micros sent;
   Position position;
   bool member = false;
-  uint64_t image_bytes = 0;  // received so far of the snapshot in transfer
+  uint64_t snapshot_bytes = 0;  // received so far of the snapshot in transfer
 };
 
 struct Message {
   std::string from, history;
-  std::variant<VoteRequest, VoteAnswer, Append, ImagePart, AppendAnswer> body;
+  std::variant<VoteRequest, VoteResponse, AppendRequest, SnapshotChunk, AppendResponse> body;
 };
 
 }  // namespace badgershore::replication
--- a/src/replication/core/replica.cpp
+++ b/src/replication/core/replica.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-Replica::Replica(Settings settings, Stored stored, uint64_t seed, Micros now)
+Replica::Replica(Settings settings, PersistentState stored, uint64_t seed, Micros now)
     : settings_(std::move(settings)),
       stored_(std::move(stored)),
       random_state_(seed | 1),
@@ -44,7 +44,7 @@
   election_at_ = now + settings_.lease + settings_.lease.Scaled(share);
 }
 
-bool Replica::MayServe(Micros now) const {
+bool Replica::HoldsLeaderLease(Micros now) const {
   if (role_ != Role::kLeader || !ready_) return false;
   std::vector<Micros> acknowledged_sent;
   for (const auto& [name, peer] : peers_) {
@@ -112,13 +112,13 @@
   if (other_service) return;
   if (const auto* m = std::get_if<VoteRequest>(&message.body)) {
     OnVoteRequest(now, message.from, *m);
-  } else if (const auto* m = std::get_if<VoteAnswer>(&message.body)) {
+  } else if (const auto* m = std::get_if<VoteResponse>(&message.body)) {
     OnVoteResponse(now, message.from, *m);
-  } else if (const auto* m = std::get_if<Append>(&message.body)) {
+  } else if (const auto* m = std::get_if<AppendRequest>(&message.body)) {
     OnAppend(now, message, *m);
-  } else if (const auto* m = std::get_if<ImagePart>(&message.body)) {
+  } else if (const auto* m = std::get_if<SnapshotChunk>(&message.body)) {
     OnSnapshotChunk(now, message, *m);
-  } else if (const auto* m = std::get_if<AppendAnswer>(&message.body)) {
+  } else if (const auto* m = std::get_if<AppendResponse>(&message.body)) {
     OnAppendResponse(now, message, *m);
   }
 }
@@ -140,7 +140,7 @@
   ++term_;
   votes_.clear();
   pending_vote_candidate_ = settings_.self;
-  StartWrite(StoreVote{{term_, settings_.self}, true});
+  StartWrite(PersistVote{{term_, settings_.self}, true});
 }
 
 bool Replica::WouldGrantVote(Micros now, const std::string& from,
@@ -148,7 +148,7 @@
   if (!stored_.member) return false;
   // The lease promised to a leader, either by this process or by the one before a restart.
   if (now < leader_heard_at_ + settings_.lease || now < started_at_ + settings_.lease) return false;
-  if (MayServe(now)) return false;
+  if (HoldsLeaderLease(now)) return false;
   if (request.position < stored_.position) return false;
   if (request.probe) return request.term > term_;
   const bool same_vote = stored_.vote.term == request.term && stored_.vote.candidate == from;
@@ -158,16 +158,16 @@
 void Replica::OnVoteRequest(Micros now, const std::string& from, const VoteRequest& request) {
   const bool granted = WouldGrantVote(now, from, request);
   if (request.probe || !granted) {
-    return Send(from, VoteAnswer{request.probe ? request.term : term_, request.probe, granted});
+    return Send(from, VoteResponse{request.probe ? request.term : term_, request.probe, granted});
   }
   if (write_in_progress_) return;
   StepDown(now, request.term);
   ResetElectionTimer(now);
   pending_vote_candidate_ = from;
-  StartWrite(StoreVote{{request.term, from}, true});
+  StartWrite(PersistVote{{request.term, from}, true});
 }
 
-void Replica::OnVoteResponse(Micros now, const std::string& from, const VoteAnswer& response) {
+void Replica::OnVoteResponse(Micros now, const std::string& from, const VoteResponse& response) {
   if (!response.probe && response.term > term_) return StepDown(now, response.term);
   const bool in_pre_vote =
       role_ == Role::kPreCandidate && response.probe && response.term == term_ + 1;
@@ -225,7 +225,7 @@
 bool Replica::AcceptLeader(Micros now, const std::string& from, uint64_t term,
                            const std::string& history) {
   if (term < term_) {
-    Send(from, AppendAnswer{term_, Micros{-1000000000}, stored_.position, false, 0});
+    Send(from, AppendResponse{term_, Micros{-1000000000}, stored_.position, false, 0});
     return false;
   }
   if (history.empty()) return false;
@@ -234,10 +234,11 @@
 }
 
 void Replica::SendAppendResponse(const std::string& to, Micros sent) {
-  Send(to, AppendAnswer{term_, sent, stored_.position, stored_.member, received_snapshot_.size()});
+  Send(to,
+       AppendResponse{term_, sent, stored_.position, stored_.member, received_snapshot_.size()});
 }
 
-void Replica::OnAppend(Micros now, const Message& message, const Append& append) {
+void Replica::OnAppend(Micros now, const Message& message, const AppendRequest& append) {
   if (!AcceptLeader(now, message.from, append.term, message.history)) return;
   const bool is_next = append.entry && append.entry->previous == stored_.position &&
                        (stored_.history == message.history);
@@ -246,10 +247,10 @@
     return BecomeMemberIfReady(now);
   }
   pending_append_response_ = PendingResponse{message.from, append.sent};
-  StartWrite(StoreEntry{*append.entry, message.history});
+  StartWrite(PersistEntry{*append.entry, message.history});
 }
 
-void Replica::OnSnapshotChunk(Micros now, const Message& message, const ImagePart& chunk) {
+void Replica::OnSnapshotChunk(Micros now, const Message& message, const SnapshotChunk& chunk) {
   if (!AcceptLeader(now, message.from, chunk.term, message.history)) return;
   if (chunk.position != received_snapshot_position_ || chunk.offset == 0) {
     received_snapshot_.clear();
@@ -262,7 +263,8 @@
   received_snapshot_ += chunk.bytes;
   if (received_snapshot_.size() < chunk.size) return SendAppendResponse(message.from, chunk.sent);
   pending_append_response_ = PendingResponse{message.from, chunk.sent};
-  StartWrite(StoreImage{std::exchange(received_snapshot_, {}), chunk.position, message.history});
+  StartWrite(
+      PersistSnapshot{std::exchange(received_snapshot_, {}), chunk.position, message.history});
 }
 
 // Makes this replica a member once it has the leader's state and votes or acknowledgements that it
@@ -271,7 +273,7 @@
   const bool has_state = !stored_.history.empty() && stored_.position.index > 0;
   if (stored_.member || write_in_progress_ || !has_state) return;
   if (now < started_at_ + settings_.rejoin_after) return;
-  StartWrite(StoreVote{{term_, ""}, true});
+  StartWrite(PersistVote{{term_, ""}, true});
 }
 
 void Replica::OnStored(Micros now, bool ok) {
@@ -283,12 +285,12 @@
     // With a failing disk it must neither lead nor acknowledge; the data on disk is unchanged.
     return StepDown(now, term_);
   }
-  if (const auto* vote = std::get_if<StoreVote>(&write)) {
+  if (const auto* vote = std::get_if<PersistVote>(&write)) {
     stored_.vote = vote->vote;
     stored_.member = vote->member;
     if (!vote_candidate || stored_.vote.term != term_) return;
     if (*vote_candidate != settings_.self)
-      return Send(*vote_candidate, VoteAnswer{term_, false, true});
+      return Send(*vote_candidate, VoteResponse{term_, false, true});
     if (role_ != Role::kCandidate) return;
     votes_[settings_.self] = true;
     for (const std::string& name : settings_.replicas) {
@@ -297,7 +299,7 @@
     if (votes_.size() >= Majority()) BecomeLeader(now);
     return;
   }
-  if (const auto* entry = std::get_if<StoreEntry>(&write)) {
+  if (const auto* entry = std::get_if<PersistEntry>(&write)) {
     stored_.position = entry->entry.position;
     stored_.history = entry->history;
     if (role_ != Role::kLeader) CacheEntry(entry->entry);
@@ -305,7 +307,7 @@
       pending_durable_ = true;
       return CommitIfMajority();
     }
-  } else if (const auto* image = std::get_if<StoreImage>(&write)) {
+  } else if (const auto* image = std::get_if<PersistSnapshot>(&write)) {
     stored_.position = image->position;
     stored_.history = image->history;
     ClearEntryCache();
@@ -322,7 +324,7 @@
   pending_durable_ = false;
   proposed_at_ = now;
   CacheEntry(entry);
-  StartWrite(StoreEntry{std::move(entry), stored_.history});
+  StartWrite(PersistEntry{std::move(entry), stored_.history});
   for (auto& [name, peer] : peers_) Replicate(now, name, &peer);
 }
 
@@ -351,7 +353,7 @@
 
 void Replica::SendHeartbeats(Micros now) {
   heartbeat_at_ = now + settings_.heartbeat;
-  if (MayServe(now)) majority_heard_at_ = now;
+  if (HoldsLeaderLease(now)) majority_heard_at_ = now;
   // Without a majority it can't serve clients, and another replica may lead already.
   if (now > majority_heard_at_ + settings_.lease.Scaled(kStepDownLeases))
     return StepDown(now, term_);
@@ -366,13 +368,13 @@
   }
   bool any_needs_snapshot = false;
   for (auto& [name, peer] : peers_) {
-    Send(name, Append{term_, now, std::nullopt});
+    Send(name, AppendRequest{term_, now, std::nullopt});
     any_needs_snapshot |= peer.needs_snapshot;
   }
   if (!any_needs_snapshot) snapshot_.clear();
 }
 
-void Replica::OnAppendResponse(Micros now, const Message& message, const AppendAnswer& response) {
+void Replica::OnAppendResponse(Micros now, const Message& message, const AppendResponse& response) {
   if (response.term > term_) return StepDown(now, response.term);
   if (role_ != Role::kLeader || response.term < term_) return;
   Peer& peer = peers_.at(message.from);
@@ -383,8 +385,8 @@
     peer.last_entry_sent = Micros{-1000000000};
   peer.position_known = true;
   peer.position = response.position;
-  if (peer.needs_snapshot && response.image_bytes > peer.snapshot_offset) {
-    peer.snapshot_offset = response.image_bytes;
+  if (peer.needs_snapshot && response.snapshot_bytes > peer.snapshot_offset) {
+    peer.snapshot_offset = response.snapshot_bytes;
     peer.last_entry_sent = Micros{-1000000000};
   }
   CommitIfMajority();
@@ -405,7 +407,7 @@
   if (entry_to_send != recent_entries_.end() && !peer->empty_disk) {
     peer->needs_snapshot = false;
     peer->last_entry_sent = now;
-    return Send(name, Append{term_, now, *entry_to_send});
+    return Send(name, AppendRequest{term_, now, *entry_to_send});
   }
   SendSnapshotChunk(now, name, peer);
 }
@@ -417,16 +419,16 @@
     peer->snapshot_offset = 0;
     // A snapshot of an earlier term's position may be older than the follower's state.
     if (stored_.position.term < term_) return;
-    effects_.load_image = effects_.load_image || !std::exchange(snapshot_loading_, true);
+    effects_.load_snapshot = effects_.load_snapshot || !std::exchange(snapshot_loading_, true);
     return;
   }
   if (peer->snapshot_offset >= snapshot_.size()) peer->snapshot_offset = 0;
-  ImagePart chunk{term_,
-                  now,
-                  snapshot_position_,
-                  peer->snapshot_offset,
-                  snapshot_.size(),
-                  snapshot_.substr(peer->snapshot_offset, kSnapshotChunkBytes)};
+  SnapshotChunk chunk{term_,
+                      now,
+                      snapshot_position_,
+                      peer->snapshot_offset,
+                      snapshot_.size(),
+                      snapshot_.substr(peer->snapshot_offset, kSnapshotChunkBytes)};
   peer->last_entry_sent = now;
   Send(name, std::move(chunk));
 }
--- a/src/replication/core/replica.h
+++ b/src/replication/core/replica.h
@@ -37,26 +37,26 @@
 };
 
 // Disk writes. Each is one atomic write, durable before OnStored is called.
-struct StoreVote {
+struct PersistVote {
   Vote vote;
   bool member = false;
 };
-struct StoreEntry {
+struct PersistEntry {
   Entry entry;
   std::string history;
 };
-struct StoreImage {
+struct PersistSnapshot {
   std::string bytes;
   Position position;
   std::string history;
 };
-using Write = std::variant<StoreVote, StoreEntry, StoreImage>;
+using Write = std::variant<PersistVote, PersistEntry, PersistSnapshot>;
 
 struct Effects {
   std::vector<std::pair<std::string, Message>> send;
   std::optional<Write> write;
   // Requests OnImage with the state on disk, read after all writes so far.
-  bool load_image = false;
+  bool load_snapshot = false;
   std::vector<Position> committed;
 };
 
@@ -64,14 +64,14 @@
  public:
   enum class Role { kFollower, kPreCandidate, kCandidate, kLeader };
 
-  Replica(Settings settings, Stored stored, uint64_t seed, Micros now);
+  Replica(Settings settings, PersistentState stored, uint64_t seed, Micros now);
 
   // Inputs. `now` never decreases.
   void Tick(Micros now);
   void OnMessage(Micros now, const Message& message);
   // Completes the write in progress. `ok` false: it is not durable and never will be.
   void OnStored(Micros now, bool ok);
-  // The encoded state that Effects::load_image requested, and its position.
+  // The encoded state that Effects::load_snapshot requested, and its position.
   void OnImage(Micros now, Position position, std::string bytes);
   // Appends the leader's next batch; only while CanPropose. Either its position is reported in
   // Effects::committed or this replica stops leading.
@@ -81,13 +81,13 @@
   // Leads, and has committed an entry of its term: its state contains all committed batches.
   bool ready() const { return role_ == Role::kLeader && ready_; }
   // Holds the leader lease: no other replica can lead now, so responses sent now are not stale.
-  bool MayServe(Micros now) const;
+  bool HoldsLeaderLease(Micros now) const;
   Micros NextDeadline() const;
   Effects Take() { return std::exchange(effects_, Effects{}); }
 
   Role role() const { return role_; }
   uint64_t term() const { return term_; }
-  const Stored& stored() const { return stored_; }
+  const PersistentState& stored() const { return stored_; }
   const std::string& leader() const { return leader_; }  // empty: unknown
   // The complete internal state in one line, for logs and state exploration.
   std::string Describe(Micros now) const;
@@ -113,7 +113,7 @@
   }
   void StartWrite(Write write) {
     write_in_progress_ = write;
-    if (auto* image = std::get_if<StoreImage>(&*write_in_progress_)) image->bytes.clear();
+    if (auto* image = std::get_if<PersistSnapshot>(&*write_in_progress_)) image->bytes.clear();
     effects_.write = std::move(write);
   }
   // Elections.
@@ -125,17 +125,17 @@
   void ResetElectionTimer(Micros now);
   bool WouldGrantVote(Micros now, const std::string& from, const VoteRequest& request) const;
   void OnVoteRequest(Micros now, const std::string& from, const VoteRequest& request);
-  void OnVoteResponse(Micros now, const std::string& from, const VoteAnswer& response);
+  void OnVoteResponse(Micros now, const std::string& from, const VoteResponse& response);
   // Followers.
   bool AcceptLeader(Micros now, const std::string& from, uint64_t term, const std::string& history);
-  void OnAppend(Micros now, const Message& message, const Append& append);
-  void OnSnapshotChunk(Micros now, const Message& message, const ImagePart& chunk);
+  void OnAppend(Micros now, const Message& message, const AppendRequest& append);
+  void OnSnapshotChunk(Micros now, const Message& message, const SnapshotChunk& chunk);
   void SendAppendResponse(const std::string& to, Micros sent);
   void BecomeMemberIfReady(Micros now);
   // The leader.
   void AppendEntry(Micros now, Entry entry);
   void SendHeartbeats(Micros now);
-  void OnAppendResponse(Micros now, const Message& message, const AppendAnswer& response);
+  void OnAppendResponse(Micros now, const Message& message, const AppendResponse& response);
   void Replicate(Micros now, const std::string& name, Peer* peer);
   void SendSnapshotChunk(Micros now, const std::string& name, Peer* peer);
   void CommitIfMajority();
@@ -143,7 +143,7 @@
   void ClearEntryCache();
 
   Settings settings_;
-  Stored stored_;
+  PersistentState stored_;
   uint64_t random_state_;
   Role role_ = Role::kFollower;
   uint64_t term_ = 0;
--- a/src/replication/service/codec.cpp
+++ b/src/replication/service/codec.cpp
@@ -81,7 +81,7 @@
   a(v.term, v.candidate);
 }
 template <class A>
-void serialize(A& a, Stored& s) {
+void serialize(A& a, PersistentState& s) {
   a(s.vote, s.position, s.history, s.member);
 }
 template <class A>
@@ -89,20 +89,20 @@
   a(m.term, m.probe, m.position);
 }
 template <class A>
-void serialize(A& a, VoteAnswer& m) {
+void serialize(A& a, VoteResponse& m) {
   a(m.term, m.probe, m.granted);
 }
 template <class A>
-void serialize(A& a, Append& m) {
+void serialize(A& a, AppendRequest& m) {
   a(m.term, m.sent, m.entry);
 }
 template <class A>
-void serialize(A& a, ImagePart& m) {
+void serialize(A& a, SnapshotChunk& m) {
   a(m.term, m.sent, m.position, m.offset, m.size, m.bytes);
 }
 template <class A>
-void serialize(A& a, AppendAnswer& m) {
-  a(m.term, m.sent, m.position, m.member, m.image_bytes);
+void serialize(A& a, AppendResponse& m) {
+  a(m.term, m.sent, m.position, m.member, m.snapshot_bytes);
 }
 template <class A>
 void serialize(A& a, Message& m) {
@@ -111,13 +111,15 @@
 
 std::string Encode(const Message& message) { return Pack(message); }
 std::string Encode(const store::StateImage& image) { return Pack(image); }
-std::string Encode(const Stored& stored) { return Pack(stored); }
+std::string Encode(const PersistentState& stored) { return Pack(stored); }
 
 std::optional<Message> DecodeMessage(std::string_view bytes) { return Unpack<Message>(bytes); }
-std::optional<store::StateImage> DecodeImage(std::string_view bytes) {
+std::optional<store::StateImage> DecodeStateImage(std::string_view bytes) {
   return Unpack<store::StateImage>(bytes);
 }
-std::optional<Stored> DecodeStored(std::string_view bytes) { return Unpack<Stored>(bytes); }
+std::optional<PersistentState> DecodePersistentState(std::string_view bytes) {
+  return Unpack<PersistentState>(bytes);
+}
 
 }  // namespace replication
 }  // namespace badgershore
--- a/src/replication/service/codec.h
+++ b/src/replication/service/codec.h
@@ -12,11 +12,11 @@
 
 std::string Encode(const Message& message);
 std::string Encode(const store::StateImage& image);
-std::string Encode(const Stored& stored);
+std::string Encode(const PersistentState& stored);
 
 // Nothing if the bytes have another format or are truncated.
 std::optional<Message> DecodeMessage(std::string_view bytes);
-std::optional<store::StateImage> DecodeImage(std::string_view bytes);
-std::optional<Stored> DecodeStored(std::string_view bytes);
+std::optional<store::StateImage> DecodeStateImage(std::string_view bytes);
+std::optional<PersistentState> DecodePersistentState(std::string_view bytes);
 
 }  // namespace badgershore::replication
--- a/src/replication/service/replica_set.cpp
+++ b/src/replication/service/replica_set.cpp
@@ -23,7 +23,7 @@
     ReplicaAddress replica{m.Text("name"), m.Text("client"), m.Text("peer")};
     if (set.Find(replica.name)) m.Fail("name", "a unique replica name");
     if (replica.client == replica.peer) m.Fail("peer", "an address different from `client`");
-    m.NoOthers();
+    m.RejectUnknownKeys();
     set.replicas.push_back(std::move(replica));
   });
   if (set.replicas.size() != 3 && set.replicas.size() != 5) {
@@ -32,7 +32,7 @@
   set.heartbeat = top.Span("heartbeat_s", 0.01, 10, 0.15);
   set.lease = top.Span("lease_s", 0.1, 60, 1);
   if (set.lease < set.heartbeat.Scaled(3)) top.Fail("lease_s", "at least three times heartbeat_s");
-  top.NoOthers();
+  top.RejectUnknownKeys();
   return set;
 }
 
--- a/src/replication/service/service.cpp
+++ b/src/replication/service/service.cpp
@@ -24,7 +24,7 @@
 const std::string kForwarded = "/forwarded";
 const std::string kStatusTarget = "/replica/status";
 
-http::ServerAnswer NoLeaderResponse() { return {503, R"({"error":"no replica leads"})", 1}; }
+http::ServerResponse NoLeaderResponse() { return {503, R"({"error":"no replica leads"})", 1}; }
 
 Settings MakeSettings(const ReplicaSet& set, const std::string& name) {
   Settings settings;
@@ -37,10 +37,10 @@
 
 // Loads a replica's metadata. An empty directory, of a lost disk or a new replica, yields none: the
 // replica then needs the leader's state.
-Stored LoadStored(store::Engine* engine) {
+PersistentState LoadStored(store::Engine* engine) {
   const std::string owner_metadata = engine->LoadOwnerMetadata();
   if (!owner_metadata.empty()) {
-    const std::optional<Stored> stored = DecodeStored(owner_metadata);
+    const std::optional<PersistentState> stored = DecodePersistentState(owner_metadata);
     if (!stored) throw store::DiskError("the replica's metadata record has an unknown format");
     return *stored;
   }
@@ -65,8 +65,8 @@
 
 }  // namespace
 
-Stored FirstStored(const ReplicaSet& set, const std::string& content) {
-  Stored stored;
+PersistentState InitialPersistentState(const ReplicaSet& set, const std::string& content) {
+  PersistentState stored;
   stored.member = true;
   for (const ReplicaAddress& replica : set.replicas) stored.history += replica.name + " ";
   stored.history += content;
@@ -123,7 +123,7 @@
 
 bool ReplicatedService::CanServe() const {
   return state_machine_ && replica_.ready() && replica_.term() == state_machine_term_ &&
-         replica_.MayServe(io::Loop::Now());
+         replica_.HoldsLeaderLease(io::Loop::Now());
 }
 
 void ReplicatedService::Flush() {
@@ -132,10 +132,10 @@
     UpdateRole();
     FlushStateMachine();
     Effects out = replica_.Take();
-    if (out.send.empty() && !out.write && !out.load_image && out.committed.empty()) break;
+    if (out.send.empty() && !out.write && !out.load_snapshot && out.committed.empty()) break;
     for (auto& [to, message] : out.send) io::Spawn(Post(&peers_.at(to), Encode(message)));
     if (out.write) WriteToDisk(*out.write);
-    if (out.load_image) LoadImage();
+    if (out.load_snapshot) LoadImage();
     for (const Position& position : out.committed) {
       if (!state_machine_ || !proposal_ || proposal_->position != position) continue;
       const uint64_t batch = std::exchange(proposal_, std::nullopt)->batch;
@@ -162,14 +162,14 @@
 
 void ReplicatedService::WriteToDisk(const Write& write) {
   // The metadata as of this write; the core updates its own when the write is durable.
-  Stored stored_after = replica_.stored();
-  if (const auto* vote = std::get_if<StoreVote>(&write)) {
+  PersistentState stored_after = replica_.stored();
+  if (const auto* vote = std::get_if<PersistVote>(&write)) {
     stored_after.vote = vote->vote;
     stored_after.member = vote->member;
-  } else if (const auto* entry = std::get_if<StoreEntry>(&write)) {
+  } else if (const auto* entry = std::get_if<PersistEntry>(&write)) {
     stored_after.position = entry->entry.position;
     stored_after.history = entry->history;
-  } else if (const auto* image = std::get_if<StoreImage>(&write)) {
+  } else if (const auto* image = std::get_if<PersistSnapshot>(&write)) {
     stored_after.position = image->position;
     stored_after.history = image->history;
   }
@@ -189,12 +189,12 @@
 
 store::WriteOutcome ReplicatedService::WriteToEngine(const Write& write,
                                                      const std::string& owner_metadata) {
-  if (const auto* entry = std::get_if<StoreEntry>(&write)) {
+  if (const auto* entry = std::get_if<PersistEntry>(&write)) {
     const auto& batch = entry->entry.batch;
     return engine_->WriteWithOwnerMetadata(batch ? &*batch : nullptr, owner_metadata);
   }
-  if (const auto* image = std::get_if<StoreImage>(&write)) {
-    const auto state = DecodeImage(image->bytes);
+  if (const auto* image = std::get_if<PersistSnapshot>(&write)) {
+    const auto state = DecodeStateImage(image->bytes);
     return state ? engine_->Replace(*state, owner_metadata) : store::WriteOutcome::kAbsent;
   }
   return engine_->WriteWithOwnerMetadata(nullptr, owner_metadata);
@@ -204,7 +204,7 @@
   disk_.Post([this, job = std::move(job)]() -> std::function<void()> {
     try {
       return job();
-    } catch (const store::DataDamagedError& error) {
+    } catch (const store::DataCorruptionError& error) {
       return [this, line = std::string(error.what())] {
         if (on_damaged_) on_damaged_(line);
       };
@@ -215,10 +215,10 @@
 // Runs after all earlier writes, so that the state and the metadata's position are consistent.
 void ReplicatedService::LoadImage() {
   PostDiskJob([this]() -> std::function<void()> {
-    std::optional<Stored> stored;
+    std::optional<PersistentState> stored;
     std::string bytes;
     const auto read = [&] {
-      stored = DecodeStored(engine_->LoadOwnerMetadata());
+      stored = DecodePersistentState(engine_->LoadOwnerMetadata());
       bytes = Encode(engine_->Load());
     };
     if (!disk_recovery_.Read(read)) return [] {};
@@ -275,11 +275,11 @@
   --peer->in_flight;
 }
 
-io::Task<http::ServerAnswer> ReplicatedService::HandleReplicaMessage(http::Message request) {
+io::Task<http::ServerResponse> ReplicatedService::HandleReplicaMessage(http::Message request) {
   const std::optional<Message> message = DecodeMessage(request.body);
   if (!message) {
     spdlog::error("rejected a replica message with an unknown format");
-    co_return http::ServerAnswer{400, R"({"error":"not a replica's message"})", 0};
+    co_return http::ServerResponse{400, R"({"error":"not a replica's message"})", 0};
   }
   const bool other_service = !message->history.empty() && !replica_.stored().history.empty() &&
                              message->history != replica_.stored().history;
@@ -288,10 +288,10 @@
                   message->from);
   replica_.OnMessage(io::Loop::Now(), *message);
   Flush();
-  co_return http::ServerAnswer{200, "{}", 0};
+  co_return http::ServerResponse{200, "{}", 0};
 }
 
-io::Task<http::ServerAnswer> ReplicatedService::HandleClient(http::Message request) {
+io::Task<http::ServerResponse> ReplicatedService::HandleClient(http::Message request) {
   if (request.target == kStatusTarget) co_return StatusResponse();
   const bool forwarded = request.target.rfind(kForwarded, 0) == 0;
   if (forwarded) request.target.erase(0, kForwarded.size());
@@ -301,13 +301,14 @@
   co_return co_await Forward(&leader->second, std::move(request));
 }
 
-io::Task<http::ServerAnswer> ReplicatedService::HandleLocally(http::Message request) {
-  wire::StoreCall call = wire::ParseStoreCall(request.method, request.target, request.body);
+io::Task<http::ServerResponse> ReplicatedService::HandleLocally(http::Message request) {
+  wire::ParsedStoreRequest call =
+      wire::ParseStoreRequest(request.method, request.target, request.body);
   if (call.status != 0) {
-    co_return http::ServerAnswer{call.status, "{\"error\":\"" + call.error + "\"}", 0};
+    co_return http::ServerResponse{call.status, "{\"error\":\"" + call.error + "\"}", 0};
   }
   const store::RequestId request_id = ++next_request_id_;
-  io::Slot<std::optional<store::Response>> slot(loop_);
+  io::OneShotValue<std::optional<store::Response>> slot(loop_);
   response_slots_[request_id] = &slot;
   state_machine_->Submit(io::Loop::Now(), request_id, call.request);
   Flush();
@@ -323,22 +324,22 @@
   co_return store::ToHttpResponse(call.request, *response);
 }
 
-io::Task<http::ServerAnswer> ReplicatedService::Forward(Peer* leader, http::Message request) {
+io::Task<http::ServerResponse> ReplicatedService::Forward(Peer* leader, http::Message request) {
   std::string target = kForwarded + request.target;
-  http::ClientAnswer response = co_await leader->forwards->Request(
+  http::ClientResponse response = co_await leader->forwards->Request(
       request.method, std::move(target), std::move(request.body), kForwardTimeout);
-  if (response.outcome == http::ClientAnswer::Outcome::kNotSent) co_return NoLeaderResponse();
-  http::ServerAnswer http_response;
-  http_response.hang_up = !response.answered();
+  if (response.outcome == http::ClientResponse::Outcome::kNotSent) co_return NoLeaderResponse();
+  http::ServerResponse http_response;
+  http_response.close_connection = !response.answered();
   http_response.status = response.status;
   http_response.body = std::move(response.body);
   http_response.retry_after_s = response.status == 503 ? 1 : 0;
   co_return http_response;
 }
 
-http::ServerAnswer ReplicatedService::StatusResponse() const {
+http::ServerResponse ReplicatedService::StatusResponse() const {
   const Micros now = io::Loop::Now();
-  const Stored& stored = replica_.stored();
+  const PersistentState& stored = replica_.stored();
   wire::Writer w;
   w.Begin().Put("name", self_.name).Put("role", RoleName(replica_.role()));
   w.Put("member", stored.member).Put("term", replica_.term()).Put("leader", replica_.leader());
--- a/src/replication/service/service.h
+++ b/src/replication/service/service.h
@@ -34,7 +34,9 @@
   // Starts to listen for clients and replicas, and to take part in the protocol.
   [[nodiscard]] Result<void> Start();
   // To be called before Start.
-  void SetOnDataDamaged(store::OnDataDamaged on_damaged) { on_damaged_ = std::move(on_damaged); }
+  void SetOnDataCorrupted(store::OnDataCorrupted on_damaged) {
+    on_damaged_ = std::move(on_damaged);
+  }
   const std::string& address() const { return self_.client; }
 
  private:
@@ -48,11 +50,11 @@
     uint64_t batch = 0;
   };
 
-  io::Task<http::ServerAnswer> HandleClient(http::Message request);
-  io::Task<http::ServerAnswer> HandleReplicaMessage(http::Message request);
-  io::Task<http::ServerAnswer> HandleLocally(http::Message request);
-  io::Task<http::ServerAnswer> Forward(Peer* leader, http::Message request);
-  http::ServerAnswer StatusResponse() const;
+  io::Task<http::ServerResponse> HandleClient(http::Message request);
+  io::Task<http::ServerResponse> HandleReplicaMessage(http::Message request);
+  io::Task<http::ServerResponse> HandleLocally(http::Message request);
+  io::Task<http::ServerResponse> Forward(Peer* leader, http::Message request);
+  http::ServerResponse StatusResponse() const;
   io::Task<void> RunTicks();
   io::Task<void> Post(Peer* peer, std::string body);
   // Executes the effects of the replication core and the state machine.
@@ -81,18 +83,19 @@
   uint64_t state_machine_term_ = 0, loading_term_ = 0;
   std::optional<store::Batch> queued_batch_;
   std::optional<Proposal> proposal_;
-  std::unordered_map<store::RequestId, io::Slot<std::optional<store::Response>>*> response_slots_;
+  std::unordered_map<store::RequestId, io::OneShotValue<std::optional<store::Response>>*>
+      response_slots_;
   store::RequestId next_request_id_ = 0;
   bool flushing_ = false;
   Replica::Role logged_role_ = Replica::Role::kFollower;
   http::Server client_server_, replica_server_;
-  store::OnDataDamaged on_damaged_;
+  store::OnDataCorrupted on_damaged_;
   store::DiskRecovery disk_recovery_;
   io::Worker disk_;  // last member: its thread ends before the others are destroyed
 };
 
 // The metadata that a replica's directory needs before its first start. `content` is a digest of
 // the initial state, which is the same on all replicas.
-Stored FirstStored(const ReplicaSet& set, const std::string& content);
+PersistentState InitialPersistentState(const ReplicaSet& set, const std::string& content);
 
 }  // namespace badgershore::replication
--- a/src/scale/core/plan.cpp
+++ b/src/scale/core/plan.cpp
@@ -9,9 +9,9 @@
 namespace badgershore::scale {
 namespace {
 
+using config::Fault;
 using config::JobClass;
 using config::Scenario;
-using config::Trouble;
 using config::YamlMap;
 
 constexpr int kRampSteps = 4;
@@ -35,7 +35,7 @@
   urgent.cpus = m.Number("cpus", 0.001, 1e3, 1);
   urgent.run = m.Span("run_s", 0.1, 1e4, 20);
   urgent.start_within = m.Span("start_within_s", 0.1, 1e4, 4.9);
-  m.NoOthers();
+  m.RejectUnknownKeys();
   return urgent;
 }
 
@@ -46,7 +46,7 @@
   phases.peak = m.Span("peak_s", 1, 3600);
   phases.settle = m.Span("settle_s", 1, 3600);
   phases.steady_share = m.Number("steady_share", 0, 1, 0.5);
-  m.NoOthers();
+  m.RejectUnknownKeys();
   return phases;
 }
 
@@ -85,7 +85,7 @@
     c.spec.image_gb = 0.2;
     c.spec.estimated_runtime = plan.task_run;
     c.run = plan.task_run;
-    c.least_tasks = c.most_tasks = plan.tasks_per_job;
+    c.min_tasks = c.max_tasks = plan.tasks_per_job;
     c.from = from;
     c.until = until;
     c.per_minute = of_team / minutes + kRoundingGuard;
@@ -109,7 +109,7 @@
     c.spec.image_gb = 0.2;
     c.spec.estimated_runtime = plan.urgent.run;
     c.run = plan.urgent.run;
-    c.least_tasks = c.most_tasks = plan.urgent.gang_sizes[static_cast<size_t>(kind)];
+    c.min_tasks = c.max_tasks = plan.urgent.gang_sizes[static_cast<size_t>(kind)];
     c.until = plan.phases.load();
     c.per_minute = of_kind / minutes + kRoundingGuard;
     out->classes.push_back(std::move(c));
@@ -119,16 +119,16 @@
 void AddFaults(const Plan& plan, Scenario* out) {
   const Micros middle_of_peak = plan.phases.load() - plan.phases.peak.Scaled(0.5);
   if (plan.faults.kill_leader) {
-    Trouble t;
-    t.kind = Trouble::Kind::kKill;
+    Fault t;
+    t.kind = Fault::Kind::kKill;
     t.who = "leader";
     t.at = middle_of_peak;
     t.span = kLeaderRestartDelay;
     out->troubles.push_back(t);
   }
   if (plan.faults.lose_workers > 0) {
-    Trouble t;
-    t.kind = Trouble::Kind::kMachinesDie;
+    Fault t;
+    t.kind = Fault::Kind::kMachinesDie;
     t.share = plan.faults.lose_workers;
     t.at = middle_of_peak + Seconds(1);
     out->troubles.push_back(t);
@@ -178,15 +178,15 @@
   plan.faults.kill_leader = faults.Flag("kill_leader", false);
   plan.faults.lose_state = faults.Flag("lose_state", false);
   plan.faults.lose_workers = faults.Number("lose_workers", 0, 0.9, 0);
-  faults.NoOthers();
+  faults.RejectUnknownKeys();
   YamlMap bounds = top.Map("bounds");
   plan.bounds.processes = static_cast<int>(bounds.Whole("processes", 5, 200, 200));
   plan.bounds.memory_share = bounds.Number("memory_share", 0.01, 0.5, 0.5);
-  bounds.NoOthers();
+  bounds.RejectUnknownKeys();
   YamlMap site = top.Map("site");
   plan.site = config::ReadSite(&site, LargeSiteSettings());
-  site.NoOthers();
-  top.NoOthers();
+  site.RejectUnknownKeys();
+  top.RejectUnknownKeys();
   return plan;
 }
 
--- a/src/scale/run.cpp
+++ b/src/scale/run.cpp
@@ -111,7 +111,7 @@
 
 io::Task<std::string> Run::Fetch(std::string address, std::string target) {
   http::Client client(&loop_, address, 0, kAnswerLimits);
-  const http::ClientAnswer answer =
+  const http::ClientResponse answer =
       co_await client.Request("GET", std::move(target), "", Seconds(2));
   co_return answer.answered() ? answer.body : std::string();
 }
--- a/src/site/relay.h
+++ b/src/site/relay.h
@@ -13,9 +13,9 @@
 
 namespace badgershore::site {
 
-class Relay {
+class LoadBalancer {
  public:
-  Relay(io::Loop* loop, std::vector<std::string> nodes);
+  LoadBalancer(io::Loop* loop, std::vector<std::string> nodes);
   // Listens for users on `addr` (IPV4:PORT) and starts the health probes of the controllers.
   [[nodiscard]] Result<void> Start(const std::string& addr);
   std::string address() const { return server_.address(); }
@@ -23,7 +23,7 @@
   bool ready() const;
 
  private:
-  io::Task<http::ServerAnswer> Handle(http::Message request);
+  io::Task<http::ServerResponse> Handle(http::Message request);
   io::Task<void> Probe(size_t node);
 
   io::Loop* loop_;
--- a/src/store/disk/archive.cpp
+++ b/src/store/disk/archive.cpp
@@ -162,7 +162,7 @@
 
 void WriteSnapshot(const StateImage& image, const std::string& file) {
   ArchiveWriter out(file);
-  out.Add(kHeadEntry, wire::FormatHeadLine(image) + "\n");
+  out.Add(kHeadEntry, wire::FormatHeaderLine(image) + "\n");
   std::string chunk;
   int number = 0;
   const auto line = [&](const std::string& text) {
--- a/src/store/disk/disk_error.h
+++ b/src/store/disk/disk_error.h
@@ -13,7 +13,7 @@
 };
 
 // The data on disk differs from what was written; a retry does not help.
-class DataDamagedError : public DiskError {
+class DataCorruptionError : public DiskError {
  public:
   using DiskError::DiskError;
 };
--- a/src/store/disk/engine.cpp
+++ b/src/store/disk/engine.cpp
@@ -29,7 +29,7 @@
 
 [[noreturn]] void ThrowFailure(const std::string& dir, const rocksdb::Status& status) {
   const std::string line = dir + ": " + OneLine(status.ToString());
-  if (status.IsCorruption()) throw DataDamagedError(line + "; restore a snapshot");
+  if (status.IsCorruption()) throw DataCorruptionError(line + "; restore a snapshot");
   throw DiskError(line);
 }
 
@@ -185,8 +185,8 @@
   const MetadataRow row =
       status.ok() ? DecodeRow<MetadataRow>(kMetadataKey, metadata) : MetadataRow{};
   if (row.write_count < write_count_) {
-    throw DataDamagedError(dir_ + ": " + std::to_string(write_count_ - row.write_count) +
-                           " acknowledged writes are missing; restore a snapshot");
+    throw DataCorruptionError(dir_ + ": " + std::to_string(write_count_ - row.write_count) +
+                              " acknowledged writes are missing; restore a snapshot");
   }
   write_count_ = row.write_count;
   revision_ = row.revision;
@@ -232,13 +232,13 @@
       case 'r':  // the owner's metadata
         break;
       default:
-        throw DataDamagedError(dir_ + ": record " + key.ToString(true) +
-                               " has an unknown type; restore a snapshot");
+        throw DataCorruptionError(dir_ + ": record " + key.ToString(true) +
+                                  " has an unknown type; restore a snapshot");
     }
   }
   if (!it->status().ok()) ThrowFailure(dir_, it->status());
   if (!meta && (!image.items.empty() || !image.change_log.empty())) {
-    throw DataDamagedError(dir_ + ": the metadata record is missing; restore a snapshot");
+    throw DataCorruptionError(dir_ + ": the metadata record is missing; restore a snapshot");
   }
   // Rows are read in key order: the metadata follow the changes, so compacted changes are removed
   // here.
@@ -356,7 +356,7 @@
   try {
     recovery_warnings_.clear();
     Open();
-  } catch (const DataDamagedError&) {
+  } catch (const DataCorruptionError&) {
     db_.reset();
     throw;
   } catch (const DiskError& error) {
--- a/src/store/disk/engine.h
+++ b/src/store/disk/engine.h
@@ -6,7 +6,7 @@
 // its contents decide whether the batch was written (see Write). Only the engine recovers from
 // errors; RocksDB's automatic recovery is disabled.
 //
-// Every member that accesses the disk throws a DataDamagedError if it finds corruption, and a
+// Every member that accesses the disk throws a DataCorruptionError if it finds corruption, and a
 // DiskError if a read or opening the database fails for a possibly temporary cause.
 //
 // Not thread-safe: one thread at a time may use an engine.
--- a/src/store/disk/log_recovery.cpp
+++ b/src/store/disk/log_recovery.cpp
@@ -89,10 +89,10 @@
     const bool torn = check.state == LogCheck::State::kTorn;
     if (torn && log.IsManifest()) continue;
     const std::string where = log.path.string() + ": byte " + std::to_string(check.invalid_offset);
-    if (!torn) throw DataDamagedError(where + ": corrupt; restore a snapshot");
+    if (!torn) throw DataCorruptionError(where + ": corrupt; restore a snapshot");
     if (!MayHaveTornWrite(logs, i, check)) {
       if (log.number < oldest_needed_log()) continue;
-      throw DataDamagedError(where + ": corrupt; restore a snapshot");
+      throw DataCorruptionError(where + ": corrupt; restore a snapshot");
     }
     if (action == TornWriteAction::kKeep) continue;
     const uint64_t torn_bytes = fs::file_size(log.path) - check.valid_bytes;
--- a/src/store/disk/log_recovery.h
+++ b/src/store/disk/log_recovery.h
@@ -12,10 +12,10 @@
 // than the newest ends in a torn write.
 using OldestNeededLog = std::function<uint64_t()>;
 
-// Throws a DataDamagedError that names the file and the offset if a log or the manifest is corrupt.
-// An incomplete last record is accepted where it can't contain an acknowledged write: in the newest
-// log, which a writer may be appending to; in a log followed only by empty ones, whose append
-// failed before they were created; and in a log that the manifest does not need.
+// Throws a DataCorruptionError that names the file and the offset if a log or the manifest is
+// corrupt. An incomplete last record is accepted where it can't contain an acknowledged write: in
+// the newest log, which a writer may be appending to; in a log followed only by empty ones, whose
+// append failed before they were created; and in a log that the manifest does not need.
 void CheckLogs(const std::string& dir, const OldestNeededLog& oldest_needed_log);
 
 // The same, and truncates an incomplete last record, except in the manifest and in logs that it
--- a/src/store/disk/rows.h
+++ b/src/store/disk/rows.h
@@ -124,7 +124,7 @@
     format = 0;
   }
   const std::string name = "record " + key.ToString(true);
-  if (format == 0) throw DataDamagedError(name + " can't be decoded; restore a snapshot");
+  if (format == 0) throw DataCorruptionError(name + " can't be decoded; restore a snapshot");
   throw DiskError(name + " has format " + std::to_string(format) + "; this version reads format " +
                   std::to_string(kRowFormat));
 }
--- a/src/store/service/disk_recovery.cpp
+++ b/src/store/service/disk_recovery.cpp
@@ -37,7 +37,7 @@
       read();
       OnSuccess();
       return true;
-    } catch (const DataDamagedError&) {
+    } catch (const DataCorruptionError&) {
       throw;
     } catch (const DiskError& error) {
       delay = OnFailure(error.what());
--- a/src/store/service/disk_recovery.h
+++ b/src/store/service/disk_recovery.h
@@ -16,7 +16,7 @@
 
 // Called once, in the event loop, when the data on disk is corrupt and the service can't continue.
 // `line` names the file and the remedy.
-using OnDataDamaged = std::function<void(const std::string& line)>;
+using OnDataCorrupted = std::function<void(const std::string& line)>;
 
 class DiskRecovery {
  public:
@@ -29,10 +29,10 @@
   // kUnknown is logged by ResolveUnknownWrite.
   WriteOutcome LogOutcome(WriteOutcome outcome);
   // After kUnknown: retries until the outcome is known; kUnknown only after Stop. Throws a
-  // DataDamagedError if the data is corrupt.
+  // DataCorruptionError if the data is corrupt.
   WriteOutcome ResolveUnknownWrite();
   // Retries `read` while it throws a DiskError; false only after Stop. Passes on a
-  // DataDamagedError.
+  // DataCorruptionError.
   bool Read(const std::function<void()>& read);
 
  private:
--- a/src/store/service/service.cpp
+++ b/src/store/service/service.cpp
@@ -6,7 +6,7 @@
 
 namespace badgershore::store {
 DiskThread::DiskThread(Engine* engine, io::Mailbox* mailbox, OnWritten on_written,
-                       OnDataDamaged on_damaged)
+                       OnDataCorrupted on_damaged)
     : engine_(engine),
       mailbox_(mailbox),
       on_written_(std::move(on_written)),
@@ -41,7 +41,7 @@
     lock.unlock();
     try {
       WriteUntilResolved(batch);
-    } catch (const DataDamagedError& error) {
+    } catch (const DataCorruptionError& error) {
       mailbox_->Post([this, line = std::string(error.what())] { on_damaged_(line); });
       return;
     }
@@ -88,7 +88,7 @@
     state_machine_.Tick(now);
     Flush();
     timer_deadline_ = state_machine_.NextDeadline();
-    io::Slot<bool> slot(loop_);
+    io::OneShotValue<bool> slot(loop_);
     timer_slot_ = &slot;
     co_await slot.Wait(std::max(timer_deadline_, now + Millis(1)));
     timer_slot_ = nullptr;
@@ -113,27 +113,29 @@
   if (timer_slot_ && state_machine_.NextDeadline() < timer_deadline_) timer_slot_->Set(true);
 }
 
-http::ServerAnswer ToHttpResponse(const Request& request, const std::optional<Response>& response) {
-  http::ServerAnswer http_response;
+http::ServerResponse ToHttpResponse(const Request& request,
+                                    const std::optional<Response>& response) {
+  http::ServerResponse http_response;
   if (!response) {
-    http_response.hang_up = true;
+    http_response.close_connection = true;
     return http_response;
   }
-  wire::StoreAnswer out = wire::FormatStoreAnswer(request, *response);
+  wire::StoreHttpResponse out = wire::FormatStoreResponse(request, *response);
   http_response.status = out.status;
   http_response.body = std::move(out.body);
   http_response.retry_after_s = out.status == 503 ? 1 : 0;
-  http_response.hang_up = out.status == 0;
+  http_response.close_connection = out.status == 0;
   return http_response;
 }
 
-io::Task<http::ServerAnswer> Service::HandleRequest(http::Message message) {
-  wire::StoreCall call = wire::ParseStoreCall(message.method, message.target, message.body);
+io::Task<http::ServerResponse> Service::HandleRequest(http::Message message) {
+  wire::ParsedStoreRequest call =
+      wire::ParseStoreRequest(message.method, message.target, message.body);
   if (call.status != 0) {
-    co_return http::ServerAnswer{call.status, "{\"error\":\"" + call.error + "\"}", 0};
+    co_return http::ServerResponse{call.status, "{\"error\":\"" + call.error + "\"}", 0};
   }
   const RequestId request_id = ++next_request_id_;
-  io::Slot<Response> slot(loop_);
+  io::OneShotValue<Response> slot(loop_);
   response_slots_[request_id] = &slot;
   state_machine_.Submit(io::Loop::Now(), request_id, call.request);
   Flush();
--- a/src/store/service/service.h
+++ b/src/store/service/service.h
@@ -24,7 +24,8 @@
 class DiskThread {
  public:
   using OnWritten = std::function<void(uint64_t batch, WriteOutcome written)>;
-  DiskThread(Engine* engine, io::Mailbox* mailbox, OnWritten on_written, OnDataDamaged on_damaged);
+  DiskThread(Engine* engine, io::Mailbox* mailbox, OnWritten on_written,
+             OnDataCorrupted on_damaged);
   ~DiskThread();
   void Write(Batch batch);
 
@@ -34,7 +35,7 @@
   Engine* engine_;
   io::Mailbox* mailbox_;
   OnWritten on_written_;
-  OnDataDamaged on_damaged_;
+  OnDataCorrupted on_damaged_;
   DiskRecovery recovery_;
   std::mutex mutex_;
   std::condition_variable wakeup_;
@@ -44,7 +45,8 @@
 };
 
 // Formats a response for HTTP; none: the connection is closed without a response.
-http::ServerAnswer ToHttpResponse(const Request& request, const std::optional<Response>& response);
+http::ServerResponse ToHttpResponse(const Request& request,
+                                    const std::optional<Response>& response);
 
 class Service {
  public:
@@ -52,24 +54,24 @@
   // Starts to listen on `addr` (IPV4:PORT) and to serve clients.
   [[nodiscard]] Result<void> Start(const std::string& addr);
   // To be called before Start.
-  void SetOnDataDamaged(OnDataDamaged on_damaged) { on_damaged_ = std::move(on_damaged); }
+  void SetOnDataCorrupted(OnDataCorrupted on_damaged) { on_damaged_ = std::move(on_damaged); }
   std::string address() const { return server_.address(); }
   const StateMachine& machine() const { return state_machine_; }
 
  private:
-  io::Task<http::ServerAnswer> HandleRequest(http::Message request);
+  io::Task<http::ServerResponse> HandleRequest(http::Message request);
   io::Task<void> RunTimers();
   void Flush();
 
   io::Loop* loop_;
   io::Mailbox mailbox_;
   StateMachine state_machine_;
-  std::unordered_map<RequestId, io::Slot<Response>*> response_slots_;
+  std::unordered_map<RequestId, io::OneShotValue<Response>*> response_slots_;
   RequestId next_request_id_ = 0;
   bool logged_writes_blocked_ = false;
   Micros timer_deadline_ = kNever;
-  io::Slot<bool>* timer_slot_ = nullptr;
-  OnDataDamaged on_damaged_;
+  io::OneShotValue<bool>* timer_slot_ = nullptr;
+  OnDataCorrupted on_damaged_;
   http::Server server_;
   DiskThread disk_;  // last member: its thread ends before the others are destroyed
 };
--- a/src/wire/messages.cpp
+++ b/src/wire/messages.cpp
@@ -203,7 +203,7 @@
   return out;
 }
 
-std::string FormatAnswer(const ApiResponse& response) {
+std::string FormatApiResponse(const ApiResponse& response) {
   Writer w;
   w.Begin();
   if (response.status == 200 || response.status == 201) {
@@ -215,7 +215,7 @@
   return w.End().Done();
 }
 
-std::optional<Heartbeat> ParseReport(std::string_view body) {
+std::optional<Heartbeat> ParseHeartbeat(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc)) return std::nullopt;
   Heartbeat heartbeat;
@@ -247,7 +247,7 @@
   return heartbeat;
 }
 
-std::string FormatCheckinAnswer(const HeartbeatResponse& response) {
+std::string FormatHeartbeatResponse(const HeartbeatResponse& response) {
   Writer w;
   w.Begin();
   if (response.status == 200) {
@@ -259,14 +259,14 @@
   return w.End().Done();
 }
 
-std::string FormatDirect(const CommandRequest& request) {
+std::string FormatCommandRequest(const CommandRequest& request) {
   Writer w;
   w.Begin().Put("baton", request.fencing_token).Put("tenure", request.agent_epoch);
   WriteCommands(&w, request.commands);
   return w.End().Done();
 }
 
-std::string FormatReport(const Heartbeat& heartbeat) {
+std::string FormatHeartbeat(const Heartbeat& heartbeat) {
   static const char* const kPhaseNames[] = {"fetching", "fetching", "gathering",
                                             "running",  "flushing", "exited"};
   static const char* const kExitReasonNames[] = {"",      "done", "halted", "peers",  "alone",
@@ -322,7 +322,7 @@
 
 }  // namespace
 
-HeartbeatResponse ParseCheckinAnswer(int status, std::string_view body) {
+HeartbeatResponse ParseHeartbeatResponse(int status, std::string_view body) {
   HeartbeatResponse response;
   response.status = status;
   rapidjson::Document doc;
@@ -336,7 +336,7 @@
   return response;
 }
 
-std::optional<CommandRequest> ParseDirect(std::string_view body) {
+std::optional<CommandRequest> ParseCommandRequest(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseObject(body, &doc) || !Find(doc, "baton") || !Find(doc, "tenure")) return std::nullopt;
   CommandRequest request;
--- a/src/wire/messages.h
+++ b/src/wire/messages.h
@@ -20,24 +20,24 @@
 // Messages of users.
 Submission ParseSubmission(std::string_view body, int64_t time_of_day_ms);
 bool ValidJobId(std::string_view id);
-std::string FormatAnswer(const ApiResponse& response);
+std::string FormatApiResponse(const ApiResponse& response);
 
 // Messages of agents, as a controller reads and writes them.
-std::optional<Heartbeat> ParseReport(std::string_view body);
-std::string FormatCheckinAnswer(const HeartbeatResponse& response);
-std::string FormatDirect(const CommandRequest& request);
+std::optional<Heartbeat> ParseHeartbeat(std::string_view body);
+std::string FormatHeartbeatResponse(const HeartbeatResponse& response);
+std::string FormatCommandRequest(const CommandRequest& request);
 
 // The same messages, as an agent writes and reads them.
-std::string FormatReport(const Heartbeat& heartbeat);
-HeartbeatResponse ParseCheckinAnswer(int status, std::string_view body);
-std::optional<CommandRequest> ParseDirect(std::string_view body);
+std::string FormatHeartbeat(const Heartbeat& heartbeat);
+HeartbeatResponse ParseHeartbeatResponse(int status, std::string_view body);
+std::optional<CommandRequest> ParseCommandRequest(std::string_view body);
 
 // Requests to the cloud and its responses.
-Call FormatCloudCall(const CloudRequest& request);
-CloudResponse ParseCloudAnswer(const CloudRequest& request, int status, std::string_view body);
+Call FormatCloudRequest(const CloudRequest& request);
+CloudResponse ParseCloudResponse(const CloudRequest& request, int status, std::string_view body);
 
 // Requests to the state service and its responses.
-Call FormatStateCall(const StateRequest& request);
-StateResponse ParseStateAnswer(const StateRequest& request, int status, std::string_view body);
+Call FormatStateRequest(const StateRequest& request);
+StateResponse ParseStateResponse(const StateRequest& request, int status, std::string_view body);
 
 }  // namespace badgershore::wire
--- a/src/wire/platform_messages.cpp
+++ b/src/wire/platform_messages.cpp
@@ -172,7 +172,7 @@
 
 }  // namespace
 
-Call FormatCloudCall(const CloudRequest& request) {
+Call FormatCloudRequest(const CloudRequest& request) {
   Call call;
   call.timeout = Seconds(4);
   switch (request.kind) {
@@ -197,7 +197,7 @@
   return call;
 }
 
-CloudResponse ParseCloudAnswer(const CloudRequest& request, int status, std::string_view body) {
+CloudResponse ParseCloudResponse(const CloudRequest& request, int status, std::string_view body) {
   using Outcome = CloudResponse::Outcome;
   CloudResponse response;
   if (status == 200) {
@@ -218,7 +218,7 @@
   return response;
 }
 
-Call FormatStateCall(const StateRequest& request) {
+Call FormatStateRequest(const StateRequest& request) {
   using Kind = StateRequest::Kind;
   Call call;
   call.timeout = Millis(1500);
@@ -264,7 +264,7 @@
   return call;
 }
 
-StateResponse ParseStateAnswer(const StateRequest& request, int status, std::string_view body) {
+StateResponse ParseStateResponse(const StateRequest& request, int status, std::string_view body) {
   using Kind = StateRequest::Kind;
   using Outcome = StateResponse::Outcome;
   StateResponse response;
--- a/src/wire/records.cpp
+++ b/src/wire/records.cpp
@@ -188,7 +188,7 @@
   if (key == keys::kTerm) return TermRecord{Count(v, "term"), Text(v, "leader")};
   if (key == keys::kLeader || key == keys::kSuccessor)
     return LeaderRecord{Text(v, "leader"), Count(v, "term")};
-  if (key == keys::kEscrow) return ReadQuotaRecord(v);
+  if (key == keys::kQuotaRecord) return ReadQuotaRecord(v);
   if (key == keys::kTypes) return TypeCountRecord{static_cast<int>(Number(v, "count"))};
   if (HasPrefix(key, keys::kType)) {
     MachineType t;
--- a/src/wire/store_messages.cpp
+++ b/src/wire/store_messages.cpp
@@ -91,7 +91,9 @@
   }
 };
 
-StoreCall RejectCall(int status, std::string error) { return {status, std::move(error), {}}; }
+ParsedStoreRequest RejectCall(int status, std::string error) {
+  return {status, std::move(error), {}};
+}
 
 std::string ToJson(const Value& v) {
   rapidjson::StringBuffer buffer;
@@ -111,7 +113,7 @@
   return true;
 }
 
-StoreCall ParseCompareAndSwap(std::string_view body) {
+ParsedStoreRequest ParseCompareAndSwap(std::string_view body) {
   rapidjson::Document doc;
   if (!ParseValidObject(body, &doc)) return RejectCall(400, "expected a JSON object");
   store::CompareAndSwapRequest out;
@@ -202,7 +204,8 @@
 
 }  // namespace
 
-StoreCall ParseStoreCall(std::string_view method, std::string_view target, std::string_view body) {
+ParsedStoreRequest ParseStoreRequest(std::string_view method, std::string_view target,
+                                     std::string_view body) {
   const size_t question_mark = target.find('?');
   const std::string_view path = target.substr(0, question_mark);
   const bool get = method == "GET", post = method == "POST";
@@ -256,7 +259,8 @@
   return RejectCall(404, "no such path");
 }
 
-StoreAnswer FormatStoreAnswer(const store::Request& request, const store::Response& response) {
+StoreHttpResponse FormatStoreResponse(const store::Request& request,
+                                      const store::Response& response) {
   switch (response.outcome) {
     case Outcome::kOk:
       return {200, ResponseBody(request, response)};
@@ -301,7 +305,7 @@
   return w.Put("stamp", entry.revision).End().Done();
 }
 
-std::string FormatHeadLine(const store::StateImage& image) {
+std::string FormatHeaderLine(const store::StateImage& image) {
   Writer w;
   w.Begin().Put("epoch", image.revision).Put("lastLease", image.last_lease_id);
   return w.Put("compacted", image.compacted_revision).End().Done();
